--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -1,160 +1,211 @@
-//! What answers of nodes tell, and the one final answer of each request.
+//! What the outcome of an attempt tells about its node, and the one final answer of each request.
 
 use crate::interface::*;
 use crate::scheduler::Scheduler;
+use crate::settings::*;
 use crate::state::*;
 
-/// Latency ratio that a node's "full" counts as: the queue was longer than anybody wanted.
+/// Least latency ratio that `Outcome::Full` counts as: the node's queue was longer than it accepts.
 const FULL_RATIO: f64 = 2.0;
-/// First pause after a node could not be reached, broke off or was full; doubled each time.
+/// First pause after a node was unreachable, reset a connection or was full; doubled each time.
 const BACKOFF: Micros = 50_000;
 /// Doublings of that pause at most.
-const BACKOFF_STEPS: u32 = 4;
-/// Time over which the memory of a node's best service fades, in microseconds.
-const PEAK_FADE: f64 = 15e6;
+const BACKOFF_DOUBLINGS: u32 = 4;
+/// Time constant with which a shard's peak of service decays, in microseconds.
+const PEAK_DECAY: f64 = 15e6;
 
-impl Scheduler {
-    /// Takes what an attempt tells about its node into the law and into the node's health.
-    pub(crate) fn observe(
-        &mut self,
-        id: NodeId,
-        at: (RequestId, u32),
-        outcome: Outcome,
-        latency: Micros,
-        ended: bool,
-    ) {
-        let now = self.mem.now;
-        let Some(node) = self.mem.nodes.get_mut(&id) else { return };
-        let Some(&Flight { sent, aim, overtaken, .. }) = node.out.get(&at) else { return };
-        let ratio = latency as f64 / aim as f64;
-        if outcome == Outcome::Served {
-            self.all.add(now, ratio.max(1e-3).ln(), (latency as f64).max(1.0).ln());
-        }
+impl Node {
+    /// Updates the law with the end of an attempt.
+    fn record_latency(&mut self, now: Micros, attempt: InFlight, outcome: Outcome, latency: Micros) {
+        let ratio = latency as f64 / attempt.latency_target as f64;
         match outcome {
-            Outcome::Served => node.learn(now, ratio, latency),
-            // Danger: quick errors pull L down and the bound balloons. An error counts as at target at
-            // least. Harm: a few stray errors on a fast node keep its bound a little lower.
-            Outcome::Error => node.learn(now, ratio.max(1.0), latency),
-            Outcome::Full => node.learn(now, ratio.max(FULL_RATIO), latency),
-            Outcome::TimedOut if overtaken > 0 => {}
-            Outcome::TimedOut | Outcome::Reset => node.learn(now, ratio.max(1.0), latency),
+            Outcome::Served => self.record_answer(now, ratio, latency),
+            // Quick errors would lower L and raise the bound without limit, so that an error counts as at
+            // least at target. The cost: a few stray errors on a fast node keep its bound a little lower.
+            Outcome::Error => self.record_answer(now, ratio.max(1.0), latency),
+            Outcome::Full => self.record_answer(now, ratio.max(FULL_RATIO), latency),
+            Outcome::TimedOut if attempt.overtaken > 0 => {}
+            Outcome::TimedOut | Outcome::Reset => self.record_answer(now, ratio.max(1.0), latency),
             Outcome::Unreachable | Outcome::Cancelled | Outcome::NotSent => {}
         }
+    }
+
+    /// Counts failures in a row, and pauses sends after them.
+    fn record_health(&mut self, now: Micros, attempt: InFlight, outcome: Outcome) {
         match outcome {
             Outcome::Served | Outcome::Error => {
-                node.failures = 0;
-                node.unheard = None;
+                self.failures = 0;
+                self.unanswered_since = None;
             }
-            // Danger: single connections break while their node serves others; pauses kept it empty.
-            // Only a second failure in a row counts against the node. Harm: a dead one gets one more request.
-            Outcome::Reset if node.failures == 0 => node.failures = 1,
+            // Single connections break while their node serves others, and pauses kept such a node empty.
+            // Only a second failure in a row counts against the node. The cost: a dead node gets one more
+            // request.
+            Outcome::Reset if self.failures == 0 => self.failures = 1,
             Outcome::Full | Outcome::Unreachable | Outcome::Reset
-                if sent >= node.hold || node.failures == 0 =>
+                if attempt.sent >= self.backoff_until || self.failures == 0 =>
             {
-                node.hold = now + (BACKOFF << node.failures.min(BACKOFF_STEPS));
-                node.failures += 1;
+                self.backoff_until = now + (BACKOFF << self.failures.min(BACKOFF_DOUBLINGS));
+                self.failures += 1;
             }
-            Outcome::TimedOut if node.silent(now) => node.failures += 1,
+            Outcome::TimedOut if self.is_silent(now) => self.failures += 1,
             _ => {}
         }
+    }
+
+    /// Counts the served attempt, sent at `sent`, as overtaking those sent before it.
+    ///
+    /// Single attempts are lost while their node answers others, and each occupied a place until its client
+    /// gave up. An attempt that several sent later have overtaken is taken for lost and occupies none. This
+    /// also detects a process whose restart was not seen. The cost: a node that does not serve in order of
+    /// arrival gets slightly more than its bound.
+    fn count_overtaken(&mut self, sent: Micros) {
+        self.in_flight.values_mut().filter(|f| f.sent < sent).for_each(|f| f.overtaken += 1);
+    }
+
+    /// Restarts the time without an answer, or clears it if nothing is in flight.
+    fn update_unanswered(&mut self, now: Micros) {
+        if self.in_flight.is_empty() {
+            self.unanswered_since = None;
+        } else if self.unanswered_since.is_none() {
+            self.unanswered_since = Some(now);
+        }
+    }
+}
+
+impl Scheduler {
+    /// Updates the law and the node's health with the outcome of an attempt. `ended`: it is no longer in
+    /// flight; otherwise its answer has only begun.
+    pub(crate) fn record_outcome(
+        &mut self,
+        id: NodeId,
+        attempt: (RequestId, u32),
+        outcome: Outcome,
+        latency: Micros,
+        ended: bool,
+    ) {
+        let now = self.state.now;
+        let Some(node) = self.state.nodes.get_mut(&id) else { return };
+        let Some(&in_flight) = node.in_flight.get(&attempt) else { return };
+        let ratio = latency as f64 / in_flight.latency_target as f64;
+        if outcome == Outcome::Served {
+            self.fleet_latency.add(now, ratio.max(1e-3).ln(), (latency as f64).max(1.0).ln());
+        }
+        node.record_latency(now, in_flight, outcome, latency);
+        node.record_health(now, in_flight, outcome);
         if ended {
-            node.out.remove(&at);
+            node.in_flight.remove(&attempt);
         }
-        // Danger: single attempts are lost while their node answers others; each held a place until its
-        // client gave up. One that several sent later have overtaken is taken for lost and holds no
-        // place. Also catches a process that restarted unseen. Harm: a node that does not serve in turn gets
-        // a little more than its bound.
         if outcome == Outcome::Served {
-            node.out.values_mut().filter(|f| f.sent < sent).for_each(|f| f.overtaken += 1);
+            node.count_overtaken(in_flight.sent);
+        }
+        node.update_unanswered(now);
+        self.state.dirty_shards.insert(node.shard);
+    }
+
+    pub(crate) fn on_answer(&mut self, answer: Answer) {
+        let now = self.state.now;
+        let (id, node_id) = (answer.request, answer.node);
+        self.record_outcome(node_id, (id, answer.attempt), answer.outcome, answer.latency, true);
+        // An attempt that was not sent although it was still valid found no connection, nor would another.
+        let no_connection =
+            answer.outcome == Outcome::NotSent && self.stands(now, id, answer.attempt, node_id);
+        if !self.record_attempt_end(&answer) {
+            return;
         }
-        if node.out.is_empty() {
-            node.unheard = None;
-        } else if node.unheard.is_none() {
-            node.unheard = Some(now);
+        self.pause_key(id, answer.outcome);
+        let Some(open) = self.state.requests.get(&id) else { return };
+        if answer.settled || open.finished {
+            self.close_request(id);
+        } else if no_connection || now >= open.deadline || now >= open.send_by && open.is_unwritten() {
+            self.finish_unserved(id, 0);
+        } else if !open.is_in_flight() && open.queued.is_none() {
+            self.enqueue(id);
         }
-        self.mem.dirty.insert(node.shard);
     }
 
-    pub(crate) fn on_answer(&mut self, a: Answer) {
-        let now = self.mem.now;
-        self.observe(a.node, (a.request, a.attempt), a.outcome, a.latency, true);
-        // One that never went out although it stood found no way; another would find none either.
-        let no_way = a.outcome == Outcome::NotSent && self.stands(now, a.request, a.attempt, a.node);
-        let Some(open) = self.mem.requests.get_mut(&a.request) else { return };
-        let Some(attempt) = open.attempts.get_mut(a.attempt as usize) else { return };
-        if let (Some(used), Some(volume)) = (a.metered, self.mem.volumes.get_mut(&open.ask.volume)) {
-            volume.used = used;
+    /// Records the end of an attempt with its request, volume and shard; false if the attempt is unknown.
+    fn record_attempt_end(&mut self, answer: &Answer) -> bool {
+        let now = self.state.now;
+        let Some(open) = self.state.requests.get_mut(&answer.request) else { return false };
+        let Some(attempt) = open.attempts.get_mut(answer.attempt as usize) else { return false };
+        if let (Some(metered), Some(volume)) =
+            (answer.metered, self.state.volumes.get_mut(&open.request.volume))
+        {
+            volume.metered_use = metered;
         }
-        attempt.fate = match a.outcome {
-            Outcome::Full => Fate::NeverRan,
-            Outcome::Unreachable => Fate::Unreached,
-            Outcome::NotSent => Fate::NotSent,
-            _ => Fate::MayHaveRun,
+        attempt.state = match answer.outcome {
+            Outcome::Full => AttemptState::NeverRan,
+            Outcome::Unreachable => AttemptState::Unreachable,
+            Outcome::NotSent => AttemptState::NotSent,
+            _ => AttemptState::MayHaveRun,
         };
-        if let Some(volume) = self.mem.volumes.get_mut(&open.ask.volume) {
-            volume.give_back(attempt, open.ask.units);
+        if let Some(volume) = self.state.volumes.get_mut(&open.request.volume) {
+            volume.release_unsent(attempt, open.request.units);
         }
-        if a.outcome == Outcome::Served
-            && let Some(shard) = self.mem.shards.get_mut(&attempt.shard)
+        if answer.outcome == Outcome::Served
+            && let Some(shard) = self.state.shards.get_mut(&attempt.shard)
         {
-            shard.serve(now, open.ask.units, PEAK_FADE);
+            shard.record_served(now, open.request.units, PEAK_DECAY);
         }
-        let class = &self.set.classes[open.ask.class];
-        if class.in_order
-            && matches!(a.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
-            && let Some(turn) = open.ask.key.and_then(|k| self.mem.turns.get_mut(&k))
+        true
+    }
+
+    /// Pauses the key of a request that runs in order after an attempt that may still run.
+    fn pause_key(&mut self, id: RequestId, outcome: Outcome) {
+        let Some(open) = self.state.requests.get(&id) else { return };
+        if self.settings.classes[open.request.class].in_order
+            && matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+            && let Some(order) = open.request.key.and_then(|k| self.state.key_orders.get_mut(&k))
         {
-            turn.rest = turn.rest.max(now + self.set.order_rest);
-        }
-        if a.settled || open.finished {
-            self.close(a.request);
-        } else if no_way || now >= open.deadline || now >= open.unsent && open.unwritten() {
-            self.finish(a.request, 0);
-        } else if !open.out() && open.place.is_none() {
-            self.enqueue(a.request);
+            order.paused_until = order.paused_until.max(self.state.now + self.settings.order_rest);
         }
     }
 
-    /// Gives the one final answer: a refusal where nothing can have run or a repeat is harmless.
-    pub(crate) fn finish(&mut self, id: RequestId, come_back: Micros) {
-        let Some(open) = self.mem.requests.get(&id).filter(|o| !o.finished) else { return };
-        let come_back = self.mem.awaited(open).map_or(come_back, |rights| rights.come_back);
-        let class = &self.set.classes[open.ask.class];
-        let harmless = matches!(class.repeats, Repeats::Safe | Repeats::Keyed { group: Group::All, .. })
-            || open.doubt().next().is_none();
-        if harmless {
-            let advised = come_back.max(class.aim / 4).min(self.set.most_advice);
-            let come_back = if self.set.advice { advised } else { 0 };
-            self.mem.actions.push(Action::Refuse { request: id, come_back });
+    /// Gives a request its one final answer: a refusal if nothing can have run or a second run is harmless,
+    /// otherwise a failure.
+    pub(crate) fn finish_unserved(&mut self, id: RequestId, retry_after: Micros) {
+        let Some(open) = self.state.requests.get(&id).filter(|o| !o.finished) else { return };
+        let retry_after = self.state.awaited_tokens(open).map_or(retry_after, |tokens| tokens.retry_after);
+        let class = &self.settings.classes[open.request.class];
+        let retry_is_harmless =
+            matches!(class.repeats, Repeats::Safe | Repeats::Keyed { group: Group::All, .. })
+                || open.uncertain_attempts().next().is_none();
+        if retry_is_harmless {
+            let advised = retry_after.max(class.aim / 4).min(self.settings.most_advice);
+            let come_back = if self.settings.advice { advised } else { 0 };
+            self.state.actions.push(Action::Refuse { request: id, come_back });
         } else {
-            self.mem.actions.push(Action::Fail { request: id });
+            self.state.actions.push(Action::Fail { request: id });
         }
-        self.mem.count_unserved(id);
-        self.remember(id);
-        self.close(id);
+        self.state.count_unserved(id);
+        self.remember_unserved(id);
+        self.close_request(id);
     }
 
-    /// Keeps until when a request that ends unserved was due, for its repeat.
+    /// Records when a request that ends unserved was due, for its client's retry.
     ///
-    /// Danger: each refusal of a late repeat that renewed what it took over kept its own cause alive. It ends
-    /// with the last try that came in time. Harm: a client that repeats for longer gets a new aim.
-    pub(crate) fn remember(&mut self, id: RequestId) {
-        if let Some(open) = self.mem.requests.get(&id) {
-            let unserved = Unserved { due: open.first, ended: open.late.unwrap_or(self.mem.now) };
-            self.mem.unserved.insert(likeness(&open.ask), unserved);
+    /// If each refusal of a late retry renewed this record, refusals would cause further refusals. The record
+    /// ends with the last try that came in time. The cost: a client that retries for longer gets a new
+    /// latency target.
+    pub(crate) fn remember_unserved(&mut self, id: RequestId) {
+        if let Some(open) = self.state.requests.get(&id) {
+            let unserved = Unserved { due: open.first_due, ended: open.late_retry.unwrap_or(self.state.now) };
+            self.state.recent_unserved.insert(fingerprint(&open.request), unserved);
         }
     }
 
-    pub(crate) fn next_turn(&mut self, key: KeyId) {
-        let Some(turn) = self.mem.turns.get(&key) else { return };
-        if self.mem.now < turn.rest {
-            self.mem.wakes.insert((turn.rest, Wake::Key(key)));
-        } else if let Some(&id) = turn.line.front() {
-            if self.mem.requests.get(&id).is_some_and(|o| !o.finished && o.place.is_none() && !o.out()) {
+    /// Enqueues the first request of a key, unless the key is paused.
+    pub(crate) fn start_next_of_key(&mut self, key: KeyId) {
+        let Some(order) = self.state.key_orders.get(&key) else { return };
+        if self.state.now < order.paused_until {
+            self.state.wakes.insert((order.paused_until, Wake::Key(key)));
+        } else if let Some(&id) = order.requests.front() {
+            let open = self.state.requests.get(&id);
+            if open.is_some_and(|o| !o.finished && o.queued.is_none() && !o.is_in_flight()) {
                 self.enqueue(id);
             }
         } else {
-            self.mem.turns.remove(&key);
+            self.state.key_orders.remove(&key);
         }
     }
 }
--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/cold.rs
@@ -1,80 +1,114 @@
-//! What a node that has just started bears, and this host's part of it.
+//! Slow start: how much a node that has just started may get, and this host's part of it.
 
 use crate::interface::*;
 use crate::scheduler::Scheduler;
 use crate::state::*;
 
-/// Windows of the rule on cold nodes that a host's turn lasts.
-const TURN: Micros = 4;
-/// Least units of a host's turn in a window, in mean requests.
-const TURN_UNITS: f64 = 1.0;
-/// Deviations that the sum of drawn turns keeps free over its mean: 1.35 in a thousand sums pass them.
+/// Length of a slow-start slot, in windows of `Settings::cold_window`.
+const SLOT_WINDOWS: Micros = 4;
+/// Least units of a slow-start slot in a window, in mean requests.
+const SLOT_REQUESTS: f64 = 1.0;
+/// Standard deviations kept free above the mean of the drawn slots: 1.35 in a thousand sums exceed them.
 const DEVIATIONS: f64 = 3.0;
-/// Deals the turns evenly: the golden ratio.
+/// The golden ratio: its multiples modulo 1 distribute the slots evenly over the hosts.
 pub(crate) const GOLDEN: f64 = 0.618_033_988_749;
 
 impl Scheduler {
-    /// The chance of a turn beyond the even deal of `many` turns, of `calls` requests of mean work in all.
+    /// When a request may go to a cold node, if not now.
     ///
-    /// Danger: most hosts of a crowd have no work for a given node, and turns dealt to them all are lost;
-    /// cold nodes stayed nearly idle. As many hosts share a node as this host's own spread over the shards
-    /// tells; what it has not seen yet counts in full (Good and Turing: the part of its requests whose shard
-    /// it met only once). Each draws for itself, so the sum varies as its mean does (Poisson), and more as
-    /// those who share a node come in groups, the hosts of a volume. It passes the 2 x root + 2 that count as
-    /// chance by a whole turn more at least: its mean leaves `DEVIATIONS` free to there (by the quantiles of
-    /// Cornish and Fisher). Harm: a sixth of what a node bears is not dealt, in groups of three up to a half.
-    fn chance(&self, many: f64, calls: f64, group: f64) -> f64 {
-        let (asks, hosts) = (self.mem.spread.asks as f64, f64::from(self.set.hosts));
-        let (used, shards) = (self.mem.spread.used as f64, self.mem.shards.len().max(1) as f64);
-        let seen = (asks - self.mem.spread.once as f64) / asks.max(1.0);
-        let sharers = (hosts * used / shards / seen.max(1e-9)).clamp(1.0, hosts);
-        let most = ((calls + 2.0 * calls.sqrt() + 2.0) * many / calls).floor() + 0.5;
-        let varies = 1.0 + (many / sharers).min(1.0) * (group - 1.0);
-        let free = (most / varies + (DEVIATIONS * DEVIATIONS + 2.0) / 12.0).sqrt() - DEVIATIONS / 2.0;
-        ((free * free * varies).min(many) / sharers - many / hosts).max(0.0)
-    }
-
-    /// When a cold node may take a request, if not now. Danger: a node that has just started falls over for
-    /// good when all hosts together push it. What it bears, grown with the slowest warming that is promised,
-    /// is dealt out evenly; where a part would be too small for a request, hosts take turns by the node's
-    /// age, `TURN` windows each with one of rest after it, so that no window sees two turns. A host that has
-    /// just started itself does not know what it sent, and waits one window. Harm: an unused part is lost.
-    pub(crate) fn cold(&self, node: &Node, ask: &Request) -> Option<Micros> {
-        let (now, window) = (self.mem.now, self.set.cold_window);
+    /// A node that has just started fails for good when all hosts together overload it. What it can take,
+    /// raised with the slowest warming that is promised, is divided evenly. Where a part would be too small
+    /// for one request, hosts get slow-start slots by the node's age: `SLOT_WINDOWS` windows each, with one
+    /// idle window after, so that no window overlaps two slots. A host that has just started itself does not
+    /// know what it sent before and waits one window. The cost: a part that its host does not use is lost.
+    pub(crate) fn cold_node_wait(&self, node: &Node, request: &Request) -> Option<Micros> {
+        let (now, window) = (self.state.now, self.settings.cold_window);
         let age = now - node.started?;
-        if window <= 0 || age >= self.set.warm_after + window {
+        if window <= 0 || age >= self.settings.warm_after + window {
             return None;
         }
-        let born = self.mem.born.unwrap_or(now);
-        if now < born + window && born > now - age {
-            return Some(born + window);
+        let host_started = self.state.started_at.unwrap_or(now);
+        if now < host_started + window && host_started > now - age {
+            return Some(host_started + window);
+        }
+        let capacity = self.cold_capacity(age);
+        let hosts = f64::from(self.settings.hosts);
+        let least = (SLOT_REQUESTS * self.settings.mean_units).clamp(1.0, self.settings.most_units.max(1.0));
+        let slots = (capacity / least).floor().clamp(1.0, hosts);
+        if slots < hosts
+            && let Some(at) = self.slow_start_slot_wait(node, request, age, slots)
+        {
+            return Some(at);
         }
-        let bears = |age: Micros| {
-            let warm = (age - window).max(0) as f64 / self.set.warm_after.max(1) as f64;
-            let base = if self.set.cold_units > 0.0 { self.set.cold_units } else { self.set.most_units };
-            base * (1.0 + (1.0 / self.set.cold_from.clamp(0.01, 1.0) - 1.0) * warm.min(1.0))
-        };
-        let (hosts, turn) = (f64::from(self.set.hosts), window * (TURN + 1));
-        let least = (TURN_UNITS * self.set.mean_units).clamp(1.0, self.set.most_units.max(1.0));
-        let many = (bears(age) / least).floor().clamp(1.0, hosts);
-        if many < hosts {
-            let number = age / turn;
-            let first = (number as f64 + f64::from(node.shard.0)) * GOLDEN % 1.0 * hosts;
-            let place = (f64::from(self.set.index) - first.floor()).rem_euclid(hosts);
-            let mut draw = u64::from(self.set.index) << 32 ^ u64::from(node.shard.0) << 16 ^ number as u64;
-            let group = f64::from(ask.hosts.max(1));
-            let chance = self.chance(many, bears(age) / self.set.mean_units, group);
-            let drawn = (next_random(&mut draw) as f64) < chance * u64::MAX as f64;
-            if age % turn >= window * TURN {
-                return Some(now + turn - age % turn);
-            }
-            if place >= many && !drawn {
-                return Some(now + window / 8);
-            }
+        self.cold_window_wait(node, request, capacity / slots)
+    }
+
+    /// Units that a cold node of this age can take in a window from all hosts together.
+    fn cold_capacity(&self, age: Micros) -> f64 {
+        let window = self.settings.cold_window;
+        let warm = (age - window).max(0) as f64 / self.settings.warm_after.max(1) as f64;
+        let base =
+            if self.settings.cold_units > 0.0 { self.settings.cold_units } else { self.settings.most_units };
+        base * (1.0 + (1.0 / self.settings.cold_from.clamp(0.01, 1.0) - 1.0) * warm.min(1.0))
+    }
+
+    /// When this host may next have one of the `slots` slow-start slots, if it has none now.
+    fn slow_start_slot_wait(
+        &self,
+        node: &Node,
+        request: &Request,
+        age: Micros,
+        slots: f64,
+    ) -> Option<Micros> {
+        let (now, window) = (self.state.now, self.settings.cold_window);
+        let (hosts, period) = (f64::from(self.settings.hosts), window * (SLOT_WINDOWS + 1));
+        let number = age / period;
+        let first = (number as f64 + f64::from(node.shard.0)) * GOLDEN % 1.0 * hosts;
+        let position = (f64::from(self.settings.index) - first.floor()).rem_euclid(hosts);
+        let mut seed = u64::from(self.settings.index) << 32 ^ u64::from(node.shard.0) << 16 ^ number as u64;
+        let volume_hosts = f64::from(request.hosts.max(1));
+        let requests = self.cold_capacity(age) / self.settings.mean_units;
+        let chance = self.extra_slot_chance(slots, requests, volume_hosts);
+        let drawn = (next_random(&mut seed) as f64) < chance * u64::MAX as f64;
+        if age % period >= window * SLOT_WINDOWS {
+            return Some(now + period - age % period);
         }
-        let recent = node.sends.iter().filter(|s| s.0 > now - window);
+        if position >= slots && !drawn {
+            return Some(now + window / 8);
+        }
+        None
+    }
+
+    /// The chance of a slot beyond the even distribution of `slots` slots over all hosts. `requests` is what
+    /// the node can take in a window, in mean requests; `volume_hosts` is the number of hosts that a volume's
+    /// requests come through.
+    ///
+    /// Most hosts of a large fleet have no work for a given node, and slots given to them all are lost: cold
+    /// nodes stayed nearly idle. The number of hosts that share a node is estimated from this host's own use
+    /// of the shards; what it has not seen yet counts in full (Good-Turing: the fraction of its requests
+    /// whose shard it saw only once). Each host draws for itself, so that the variance of the sum equals its
+    /// mean (Poisson), and is larger as the hosts that share a node come in groups, the hosts of a volume.
+    /// When the sum exceeds the 2 x root + 2 that count as chance, it does so by at least one whole slot, so
+    /// that its mean keeps `DEVIATIONS` free below that (by the quantiles of Cornish and Fisher). The cost: a
+    /// sixth of what a node can take is not given out, in groups of three up to a half.
+    fn extra_slot_chance(&self, slots: f64, requests: f64, volume_hosts: f64) -> f64 {
+        let usage = &self.state.shard_usage;
+        let (received, hosts) = (usage.requests as f64, f64::from(self.settings.hosts));
+        let (used, shards) = (usage.used as f64, self.state.shards.len().max(1) as f64);
+        let seen = (received - usage.used_once as f64) / received.max(1.0);
+        let sharers = (hosts * used / shards / seen.max(1e-9)).clamp(1.0, hosts);
+        let most = ((requests + 2.0 * requests.sqrt() + 2.0) * slots / requests).floor() + 0.5;
+        let dispersion = 1.0 + (slots / sharers).min(1.0) * (volume_hosts - 1.0);
+        let free = (most / dispersion + (DEVIATIONS * DEVIATIONS + 2.0) / 12.0).sqrt() - DEVIATIONS / 2.0;
+        ((free * free * dispersion).min(slots) / sharers - slots / hosts).max(0.0)
+    }
+
+    /// When a request fits into `allowed` units of the sliding window, if not now.
+    fn cold_window_wait(&self, node: &Node, request: &Request, allowed: f64) -> Option<Micros> {
+        let (now, window) = (self.state.now, self.settings.cold_window);
+        let recent = node.recent_sends.iter().filter(|s| s.0 > now - window);
         let sent: f64 = recent.clone().map(|s| s.1).sum();
-        if sent + ask.units <= bears(age) / many {
+        if sent + request.units <= allowed {
             return None;
         }
         Some(recent.map(|s| s.0 + window).next().unwrap_or(now + window / 8))
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,233 +1,105 @@
-//! What goes into and comes out of the decision module: settings, events, actions and their ids.
+//! The interface of the decision module: ids, events and actions.
 //!
-//! Nothing here behaves or decides. Times and spans are whole microseconds on a clock with an arbitrary
-//! origin; the host supplies the clock.
+//! Times and spans are in whole microseconds, on a clock with an arbitrary origin that the host supplies.
 
 /// A point in time or a span, in microseconds.
 pub type Micros = i64;
 
-/// A request, numbered by the host. An id is not reused while the module may still name it.
+/// Id of a request, assigned by the host. An id is not reused while the module may still refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A storage node, numbered by the host; a process that restarts keeps its number.
+/// Id of a storage node, assigned by the host; a process that restarts keeps its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// The piece of data that a request reads or writes.
+/// Id of the data that a request reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
 
-/// The volume on whose account a request goes.
+/// Id of the volume to which a request is charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// A part of the data; one node at a time holds it, or a few that hold the same.
+/// Id of a part of the data, held by one node at a time or by a few that hold the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u32);
 
-/// Who a request is from, as far as its host can tell: the same number on every connection of that client.
+/// Id of a client, as far as the host can identify it: the same on all its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// Whether a request of a class may run more than once.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    /// Any number of runs is harmless.
-    Safe,
-    /// Nodes of the group discard repeats for `window` after the first send that may have run.
-    Keyed {
-        /// The nodes that discard the repeat.
-        group: Group,
-        /// How long they remember it.
-        window: Micros,
-    },
-    /// A second run does damage.
-    Unsafe,
-}
-
-/// The nodes that recognise a keyed repeat.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    /// Every node.
-    All,
-    /// Those in the zone of the node first sent to.
-    Zone,
-    /// Those of the same shard.
-    Shard,
-}
-
-/// A class of requests.
-#[derive(Clone, Debug)]
-pub struct Class {
-    /// An answer within this span earns the full worth.
-    pub aim: Micros,
-    /// The aim grows by this multiple of the request's own work; informative only.
-    pub aim_stretch: f64,
-    /// What a request is worth.
-    pub worth: f64,
-    /// The part of the worth that a late answer earns.
-    pub late_worth: f64,
-    /// May it run again.
-    pub repeats: Repeats,
-    /// Requests with one key run one at a time, in the order taken.
-    pub in_order: bool,
-    /// Answers are streamed.
-    pub stream: bool,
-}
-
-/// A plan; the figures hold for each volume over all hosts and nodes.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// Units a second the volume is sized for.
-    pub rate: f64,
-    /// Units a second that earn the full worth.
-    pub reserve: f64,
-    /// Units a second that the limit's store fills by; 0 means no limit.
-    pub limit: f64,
-    /// The most that store holds.
-    pub limit_burst: f64,
-    /// How far below zero it may go.
-    pub limit_slack: f64,
-    /// Proportion in which a node's capacity beyond the reserves is dealt out.
-    pub weight: f64,
-    /// Factor on the worth.
-    pub price: f64,
-}
-
-/// The rule on further attempts.
-#[derive(Clone, Copy, Debug)]
-pub struct RetryBudget {
-    /// Span over which both sides are counted.
-    pub window: Micros,
-    /// Further attempts allowed in any case.
-    pub free: f64,
-    /// And for each request taken.
-    pub share: f64,
-}
-
-/// What a host is told once, at its start.
-#[derive(Clone, Debug)]
-pub struct Settings {
-    /// Classes, by index.
-    pub classes: Vec<Class>,
-    /// Plans, by index.
-    pub plans: Vec<Plan>,
-    /// Hosts that work on this pool, this one included.
-    pub hosts: u32,
-    /// This host's number among them, from 0.
-    pub index: u32,
-    /// The node list changes only after asking.
-    pub must_ask: bool,
-    /// Most attempts of one request.
-    pub most_attempts: u32,
-    /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
-    /// Attempts may be cancelled.
-    pub cancel: bool,
-    /// Nodes may be probed.
-    pub probes: bool,
-    /// Clients are handed advice when to come back.
-    pub advice: bool,
-    /// The longest advice that they follow.
-    pub most_advice: Micros,
-    /// Units that a cold node bears within `cold_window` from all hosts together.
-    pub cold_units: f64,
-    /// The span in which a cold node must not get too much.
-    pub cold_window: Micros,
-    /// The part of its capacity that a node starts with at least.
-    pub cold_from: f64,
-    /// A node is warm after this long at most.
-    pub warm_after: Micros,
-    /// How long sends to a draining or gone node are still allowed.
-    pub drain_grace: Micros,
-    /// Rest of a key after an attempt that may still run.
-    pub order_rest: Micros,
-    /// The rule on further attempts, where there is one.
-    pub budget: Option<RetryBudget>,
-    /// The most units that a request counts.
-    pub most_units: f64,
-    /// The mean units of a request.
-    pub mean_units: f64,
-    /// Worth of units within the share, as a part of the full worth.
-    pub share_worth: f64,
-    /// Worth of units beyond reserve and share.
-    pub spare_worth: f64,
-    /// Points that wasted node work costs, as a part of all.
-    pub waste_price: f64,
-}
-
-/// Whether a node takes work, as listed.
+/// Whether a node accepts work, according to the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It does.
+    /// The node accepts work.
     On,
-    /// It finishes what it has.
+    /// The node finishes what it has and accepts nothing new.
     Draining,
-    /// It is gone.
+    /// The node is removed.
     Gone,
 }
 
-/// A line of the node list.
+/// An entry of the node list.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
     /// Its zone.
     pub zone: u32,
-    /// The shard it holds.
+    /// The shard that it holds.
     pub shard: ShardId,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: NodeState,
-    /// When it last started, if that is not long ago.
+    /// When its process last started, if that was recently.
     pub started: Option<Micros>,
 }
 
-/// A request, as a client brought it.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of its class in `Settings::classes`.
     pub class: usize,
-    /// Index of its volume's plan.
+    /// Index of its volume's plan in `Settings::plans`.
     pub plan: usize,
-    /// Its volume.
+    /// The volume to which it is charged.
     pub volume: VolumeId,
-    /// The data it is about, if it has a key.
+    /// The data that it reads or writes, if it has a key.
     pub key: Option<KeyId>,
-    /// The shard that holds the data; none for a new object.
+    /// The shard that holds the data; `None` for a new object, which any node may take.
     pub shard: Option<ShardId>,
-    /// Its size.
+    /// Its size in units of work.
     pub units: f64,
-    /// Hosts through which the volume's requests come.
+    /// Number of hosts through which the volume's requests come.
     pub hosts: u32,
-    /// How long the client waits.
+    /// How long the client waits for its answer, in microseconds.
     pub patience: Micros,
-    /// It is known to be a client's further try.
+    /// The client has marked it as a retry of an earlier request.
     pub retry: bool,
-    /// Whose it is, where that is known.
+    /// The client, if it is known.
     pub client: Option<ClientId>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The node served it.
     Served,
-    /// The node returned an error; it may have run.
+    /// The node returned an error; the attempt may have run.
     Error,
-    /// Turned away unseen.
+    /// The node rejected it as overloaded; it never ran.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer came in time; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection to the node; the attempt never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
@@ -236,139 +108,142 @@
 pub struct Answer {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// The node it went to.
+    /// The node to which it was sent.
     pub node: NodeId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request is finished, by this or earlier.
+    /// The request has its final answer, from this attempt or from before.
     pub settled: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent, in microseconds.
     pub latency: Micros,
-    /// The volume's use over all hosts in a finished period, as a part of the plan's rate.
+    /// The volume's use over all hosts in the last complete metering period, as a fraction of the plan's
+    /// rate.
     pub metered: Option<f64>,
-    /// Units this node served the volume through other hosts since its last answer here.
+    /// Units that this node served the volume through other hosts since its last answer to this host.
     pub elsewhere: f64,
 }
 
-/// What happens to a host.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The node list, whole or only what changed. `remembered` marks a list kept from before the start.
+    /// The node list, or changes of it.
     Nodes {
-        /// The list is whole: nodes that it leaves out are gone.
+        /// The list is complete: nodes that it does not contain are removed.
         whole: bool,
-        /// It comes from this host's own store and may be old.
+        /// The list comes from this host's own storage and may be out of date.
         remembered: bool,
-        /// The lines.
+        /// The entries.
         entries: Vec<NodeEntry>,
     },
-    /// Asking for the node list failed, or the subscription broke.
+    /// The request for the node list failed, or the subscription was lost.
     NodesFailed,
-    /// A client's request.
+    /// A request from a client.
     Request(Request),
-    /// The answer of a streamed attempt began.
+    /// The answer of a streamed attempt began to arrive.
     Started {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u32,
-        /// The node.
+        /// The node to which it was sent.
         node: NodeId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent, in microseconds.
         latency: Micros,
     },
     /// An attempt ended.
     Answer(Answer),
-    /// The client is gone; nothing is owed.
+    /// The client withdrew its request and needs no answer.
     Withdrawn(RequestId),
-    /// Less time is left for a request than was said: its host ends before its client's time is over.
+    /// Less time is left for a request than `Request::patience` said, as its host shuts down before then.
     Hastened {
         /// The request.
         request: RequestId,
-        /// What is left.
+        /// Time left from now, in microseconds.
         patience: Micros,
     },
-    /// A sent attempt waits for its connection, or is begun after that. Without this event it is begun when it is sent.
+    /// A sent attempt awaits its connection, or begins after that wait. Without this event an attempt begins
+    /// when it is sent.
     Waits {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u32,
-        /// It waits; else it is begun.
+        /// It awaits its connection; otherwise it begins now.
         waits: bool,
     },
-    /// A timer set earlier is due.
+    /// The timer with this token is due.
     Timer(u64),
-    /// What a shard bears from this host beyond first attempts, in place of what was left of an earlier such event.
-    /// A shard never named is unlimited.
+    /// A shard's retry tokens for this host, which replace those left from the previous event. A shard
+    /// without any such event has no limit on retries.
     Allowance {
         /// The shard.
         shard: ShardId,
-        /// So many further attempts, or first ones of requests with [`Request::retry`], may go out.
+        /// Number of tokens. Each allows one retry, or a first attempt of a request with [`Request::retry`].
         further: u32,
-        /// What is refused for want of them is to come back after this span; no longer than the settings' advice.
+        /// Advice for requests that are refused for want of a token, in microseconds; the settings cap it.
         come_back: Micros,
     },
-    /// How many requests of a shard may wait for a right while it has none left; those beyond are refused at once, or at the
-    /// next `Allowance` if they wait already. None may until this is told; those of a class in order never do.
+    /// How many requests of a shard may wait for a retry token while none is left. Requests beyond that are
+    /// refused at once, or at the next `Allowance` if they wait already. None may wait before this event;
+    /// requests of a class in order never do.
     AwaitLimit {
         /// The shard.
         shard: ShardId,
-        /// So many.
+        /// Maximum number of waiting requests.
         most: u32,
     },
 }
 
-/// What the module thinks of a node, for operators.
+/// A snapshot of what the module knows about a node, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeLook {
-    /// The law's bound on attempts out, within the reserve.
+    /// The law's bound on attempts in flight, for requests within the reserve.
     pub bound: f64,
-    /// The law's L: smoothed latency over aim.
+    /// The law's L: smoothed latency over latency target.
     pub load: f64,
-    /// Places taken.
+    /// Attempts in flight, without those taken for lost.
     pub held: usize,
     /// Requests that wait for its shard.
     pub waiting: usize,
-    /// No word from it for too long.
+    /// It has attempts in flight and has not answered for too long.
     pub silent: bool,
-    /// It warms up.
+    /// It started recently and gets limited work.
     pub cold: bool,
 }
 
-/// Requests that wait at a shard for a right, for whoever deals the rights out.
+/// Requests that wait for a retry token of a shard, reported to whoever allots the tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
     /// The shard.
     pub shard: ShardId,
-    /// So many wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Worth of the class of the first of them, times the price of its plan; 0 if none waits.
+    /// Worth of the first one's class times the price of its plan; 0 if none waits.
     pub worth: f64,
 }
 
 /// What a host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request count from 0. A patience of 0 lasts until the client gives up.
+    /// Send an attempt of a request; attempts are numbered from 0.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The node to send it to.
         node: NodeId,
-        /// The attempt's time-out.
+        /// Time-out of the attempt in microseconds; 0 means that it lasts until the client's time is over.
         patience: Micros,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When to come back; 0 means no advice.
+        /// When the client is advised to retry, in microseconds from now; 0 means no advice.
         come_back: Micros,
     },
-    /// Final answer: failed, nothing is known about its effect.
+    /// Final answer: the request failed, and it is unknown whether it ran.
     Fail {
         /// The request.
         request: RequestId,
@@ -377,18 +252,18 @@
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Deliver `Event::Timer` with this token after the span.
+    /// Deliver `Event::Timer` with this token after a span.
     SetTimer {
-        /// From now.
+        /// The span from now, in microseconds.
         after: Micros,
-        /// Handed back.
+        /// The token to return.
         token: u64,
     },
     /// Subscribe to the node list.
     Subscribe,
-    /// A line for the operators.
+    /// A log line for operators.
     Log(String),
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decisions of a host-side I/O scheduler for a shared disk pool.
 //!
-//! A host feeds a [`Scheduler`] with events and carries out the actions it answers with. The scheduler has
-//! no clock, no thread and no I/O of its own. For each storage node it keeps a bound on the attempts out,
-//! moved on every answer by the admission law of the thesis cited in `docs/design.md`; what exceeds the
-//! bound waits in the host.
+//! A host passes events to a [`Scheduler`] and carries out the actions that it returns. The scheduler has no
+//! clock, thread or I/O of its own. For each storage node it keeps a bound on this host's attempts in flight,
+//! updated on every answer by the admission law of the thesis cited in `docs/design.md`; requests beyond the
+//! bound wait in the host.
 //!
 //! ```
 //! use decisions::*;
@@ -17,8 +17,9 @@
 //!         rate: 10.0, reserve: 5.0, limit: 0.0, limit_burst: 0.0, limit_slack: 0.0,
 //!         weight: 1.0, price: 1.0,
 //!     }],
-//!     hosts: 1, index: 0, must_ask: false, most_attempts: 3, second_copies: false, cancel: true, probes: false,
-//!     advice: true, most_advice: 1_000_000, cold_units: 10.0, cold_window: 2_000_000, cold_from: 0.2,
+//!     hosts: 1, index: 0, must_ask: false, most_attempts: 3, second_copies: false, cancel: true,
+//!     probes: false, advice: true, most_advice: 1_000_000,
+//!     cold_units: 10.0, cold_window: 2_000_000, cold_from: 0.2,
 //!     warm_after: 10_000_000, drain_grace: 500_000, order_rest: 0, budget: None, most_units: 8.0,
 //!     mean_units: 2.0, share_worth: 0.5, spare_worth: 0.1, waste_price: 0.0,
 //! };
@@ -45,13 +46,17 @@
 mod cold;
 mod interface;
 mod law;
+mod nodes;
 mod queue;
+mod requests;
 mod scheduler;
+mod settings;
 mod shards;
 mod state;
 mod sums;
 mod sweep;
 mod verdict;
+mod volumes;
 mod wakes;
 
 use std::collections::BTreeMap;
@@ -59,40 +64,44 @@
 pub use causes::Cause;
 pub use interface::*;
 pub use scheduler::Scheduler;
+pub use settings::*;
 
 impl Scheduler {
-    /// What is thought of a node, for operators; nothing follows from it here.
+    /// A snapshot of what the scheduler knows about a node, for operators; no decision depends on it.
     pub fn look(&self, id: NodeId) -> Option<NodeLook> {
-        let (now, v) = (self.mem.now, self.view());
-        let node = self.mem.nodes.get(&id)?;
+        let (now, view) = (self.state.now, self.fleet_view());
+        let node = self.state.nodes.get(&id)?;
+        let shard = self.state.shards.get(&node.shard);
         Some(NodeLook {
-            bound: node.bound(law::RESERVE, &v),
-            load: node.load(&v),
-            held: node.held() as usize,
-            waiting: self.mem.shards.get(&node.shard).map_or(0, |s| s.waiting + s.awaiting.len()),
-            silent: node.silent(now),
-            cold: node.started.is_some_and(|t| now - t < self.set.warm_after),
+            bound: node.bound(law::RESERVE, &view),
+            load: node.load(&view),
+            held: node.occupied() as usize,
+            waiting: shard.map_or(0, |s| s.waiting + s.awaiting_token.len()),
+            silent: node.is_silent(now),
+            cold: node.started.is_some_and(|t| now - t < self.settings.warm_after),
         })
     }
 
-    /// Shards gone through for something to send, and lines of the list put in place, since the start: what a change costs.
+    /// Counters of work since the start: shards examined for something to send, and node list entries
+    /// applied.
     pub fn work(&self) -> (u64, u64) {
-        (self.mem.pumped, self.mem.relisted)
+        (self.state.shards_examined, self.state.entries_applied)
     }
 
     /// How many requests ended unserved since the start, by class and cause.
     pub fn unserved(&self) -> &BTreeMap<(usize, Cause), u64> {
-        &self.mem.causes
+        &self.state.unserved_counts
     }
 
-    /// The shards at which other requests wait for a right than were told of last.
+    /// The shards whose requests waiting for a retry token changed since the last call, as they are now.
     pub fn take_shortages(&mut self) -> Vec<Shortage> {
-        let shards = std::mem::take(&mut self.mem.short);
+        let shards = std::mem::take(&mut self.state.changed_shortages);
         let shortage = |shard| {
-            let waiting = self.mem.shards.get(&shard).map_or(0, |s| s.awaiting.len() as u32);
-            let first = self.mem.first_awaiting(shard).and_then(|place| self.mem.requests.get(&place.id));
-            let worth =
-                first.map_or(0.0, |o| self.set.classes[o.ask.class].worth * self.set.plans[o.ask.plan].price);
+            let waiting = self.state.shards.get(&shard).map_or(0, |s| s.awaiting_token.len() as u32);
+            let first = self.state.first_awaiting_token(shard);
+            let first = first.and_then(|entry| self.state.requests.get(&entry.id)).map(|open| &open.request);
+            let worth = first
+                .map_or(0.0, |r| self.settings.classes[r.class].worth * self.settings.plans[r.plan].price);
             Shortage { shard, waiting, worth }
         };
         shards.into_iter().map(shortage).collect()
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -1,233 +1,288 @@
-//! One host's scheduler: its settings, events, node list, requests taken, wakes and what is forgotten.
+//! One host's scheduler: the entry point for events, the node list, new requests and due wakes.
 
 use crate::interface::*;
 use crate::law::*;
+use crate::settings::*;
 use crate::state::*;
 
-/// The law's target beyond the reserve, times the root of what a unit earns there: what earns less stops at a
-/// lower latency and leaves the node to the rest.
-const TARGET: f64 = 0.38;
-/// Answers that the host's mean over all nodes counts as in the L of one, in a crowd.
-const PRIOR: f64 = 0.3;
-/// A like request within this time of one that ended unserved is its repeat, where clients do not say.
-const REPEAT: Micros = 50_000;
-/// Interval of forgetting; a marked request within this time of a like one that ended unserved is its repeat.
-pub(crate) const SWEEP: Micros = 5_000_000;
-/// Pause before asking for the node list again after a failure.
-const ASK_AGAIN: Micros = 1_000_000;
+/// Load target beyond the reserve, times the square root of what a unit earns there: units that earn less
+/// stop at a lower latency and leave the node to the rest.
+const SPARE_LOAD_TARGET: f64 = 0.38;
+/// Weight in answers that the mean over all nodes has in the L of one node, in a large fleet.
+const PRIOR_WEIGHT: f64 = 0.3;
+/// A request with the fingerprint of one that ended unserved within this time before it is taken for its
+/// retry, if it is not marked as one.
+const UNMARKED_RETRY_WINDOW: Micros = 50_000;
+/// Interval of sweeps, and the same window for requests that are marked as retries.
+pub(crate) const SWEEP_INTERVAL: Micros = 5_000_000;
+/// Mean pause before subscribing to the node list again after a failure.
+const SUBSCRIBE_RETRY: Micros = 1_000_000;
 
 /// One host's scheduler: see the [crate documentation](crate) for its use.
 pub struct Scheduler {
-    pub(crate) set: Settings,
-    pub(crate) target: [f64; 3],
-    pub(crate) all: Mean,
-    pub(crate) mem: Memory,
+    pub(crate) settings: Settings,
+    pub(crate) load_targets: [f64; 3],
+    /// Logarithms of the latencies of all nodes.
+    pub(crate) fleet_latency: LatencyMean,
+    pub(crate) state: State,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet but its settings.
+    /// Creates a scheduler without nodes or requests. `seed` starts its random number generator.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         settings.hosts = settings.hosts.max(settings.index.saturating_add(1));
-        let worth = |x: f64| TARGET * x.clamp(0.01, 1.0).sqrt();
-        let target = [1.0, worth(settings.share_worth), worth(settings.spare_worth)];
-        let mem = Memory { noise: seed, ..Memory::default() };
-        Scheduler { set: settings, target, all: Mean::over(SMOOTHING), mem }
+        let target = |worth: f64| SPARE_LOAD_TARGET * worth.clamp(0.01, 1.0).sqrt();
+        let load_targets = [1.0, target(settings.share_worth), target(settings.spare_worth)];
+        let state = State { random: seed, ..State::default() };
+        Scheduler { settings, load_targets, fleet_latency: LatencyMean::new(SMOOTHING), state }
     }
 
-    /// Takes one event at the time `now` and appends what is to be done to `actions`.
+    /// Handles one event at the time `now` and appends the actions it leads to.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.mem.now = now.max(self.mem.now);
-        if self.mem.born.is_none() {
-            self.mem.born = Some(self.mem.now);
-            self.mem.wakes.insert((self.mem.now + SWEEP, Wake::Sweep));
-            if self.set.must_ask {
-                self.mem.actions.push(Action::Subscribe);
+        self.state.now = now.max(self.state.now);
+        self.start_once();
+        self.apply_event(event);
+        self.run_due_wakes();
+        while let Some(shard) = self.state.dirty_shards.pop_first() {
+            self.state.shards_examined += 1;
+            self.dispatch(shard);
+        }
+        self.arm_timer();
+        actions.append(&mut self.state.actions);
+    }
+
+    /// Records the time of the first event, and starts the sweeps and the subscription to the node list.
+    fn start_once(&mut self) {
+        if self.state.started_at.is_none() {
+            self.state.started_at = Some(self.state.now);
+            self.state.wakes.insert((self.state.now + SWEEP_INTERVAL, Wake::Sweep));
+            if self.settings.must_ask {
+                self.state.actions.push(Action::Subscribe);
             }
         }
+    }
+
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Nodes { whole, entries, .. } => self.on_nodes(whole, entries),
             Event::NodesFailed => {
-                let spread = next_random(&mut self.mem.noise) % ASK_AGAIN as u64;
-                self.mem.wakes.insert((self.mem.now + ASK_AGAIN / 2 + spread as Micros, Wake::List));
+                let jitter = next_random(&mut self.state.random) % SUBSCRIBE_RETRY as u64;
+                let at = self.state.now + SUBSCRIBE_RETRY / 2 + jitter as Micros;
+                self.state.wakes.insert((at, Wake::Subscribe));
             }
-            Event::Request(ask) => self.on_request(ask),
+            Event::Request(request) => self.on_request(request),
             Event::Started { request, attempt, node, latency } => {
-                self.observe(node, (request, attempt), Outcome::Served, latency, false);
-                if let Some(open) = self.mem.requests.get_mut(&request) {
+                self.record_outcome(node, (request, attempt), Outcome::Served, latency, false);
+                if let Some(open) = self.state.requests.get_mut(&request) {
                     open.streaming = true;
                 }
             }
             Event::Answer(answer) => self.on_answer(answer),
             Event::Withdrawn(id) => {
-                self.remember(id);
-                self.close(id);
+                self.remember_unserved(id);
+                self.close_request(id);
+            }
+            Event::Waits { request, attempt, waits } => {
+                self.state.set_awaiting_connection(request, attempt, waits);
             }
-            Event::Waits { request, attempt, waits } => self.mem.waits(request, attempt, waits),
             Event::Hastened { request, patience } => {
-                if let Some(open) = self.mem.requests.get_mut(&request) {
-                    open.hasten(self.mem.now + patience);
-                    self.mem.wakes.extend(open.ends().map(|at| (at, Wake::Request(request))));
+                if let Some(open) = self.state.requests.get_mut(&request) {
+                    open.shorten_deadline(self.state.now + patience);
+                    self.state.wakes.extend(open.wake_times().map(|at| (at, Wake::Request(request))));
                 }
             }
             Event::Allowance { shard, further, come_back } => {
-                self.mem.rights.insert(shard, Rights { left: further, come_back });
-                self.mem.dirty.insert(shard);
+                let tokens = RetryTokens { left: further, retry_after: come_back };
+                self.state.retry_tokens.insert(shard, tokens);
+                self.state.dirty_shards.insert(shard);
             }
-            Event::AwaitLimit { shard, most } => _ = self.mem.await_limits.insert(shard, most),
+            Event::AwaitLimit { shard, most } => _ = self.state.token_wait_limits.insert(shard, most),
             Event::Timer(token) => {
-                if token == self.mem.token {
-                    self.mem.armed = None;
+                if token == self.state.timer_token {
+                    self.state.timer_at = None;
                 }
             }
         }
-        self.wake_due();
-        while let Some(shard) = self.mem.dirty.pop_first() {
-            self.mem.pumped += 1;
-            self.pump(shard);
-        }
-        self.arm_timer();
-        actions.append(&mut self.mem.actions);
     }
 
-    /// Danger: in a crowd a host hears from one node every few seconds only, so that its L is stale. The L of
-    /// all its nodes stands in as the answers age, as a mean of logarithms: a few sick nodes do not close the
-    /// rest. Shows surges everywhere at once. Harm: a sick node seldom heard of is tried again too soon.
-    pub(crate) fn view(&self) -> View {
-        let weight = self.all.weight.sum;
-        // Of all hosts, those whose volumes lie at a node: as many as this host uses of the shards.
-        let used = self.mem.spread.used as f64 / self.mem.shards.len().max(1) as f64;
-        let fresh = (ALL / (f64::from(self.set.hosts) * used)).min(1.0);
+    /// What is known of all nodes together.
+    ///
+    /// In a large fleet a host gets an answer from one node only every few seconds, so that the node's L is
+    /// stale. The L of all its nodes replaces it as the answers age; it is a mean of logarithms, so that a
+    /// few failing nodes do not close the rest. This shows an overload of all nodes at once. The cost: a
+    /// failing node that answers seldom is tried again too soon.
+    pub(crate) fn fleet_view(&self) -> FleetView {
+        let weight = self.fleet_latency.weight.sum;
+        // Of all hosts, those whose volumes lie at a node: the same fraction as this host uses of the shards.
+        let used = self.state.shard_usage.used as f64 / self.state.shards.len().max(1) as f64;
+        let fresh_bound = (FLEET_INITIAL_BOUND / (f64::from(self.settings.hosts) * used)).min(1.0);
         let mean = |sum: f64| if weight > 0.0 { (sum / weight).exp() } else { 1.0 };
-        let (load, delay) = (mean(self.all.ratio.sum), mean(self.all.delay.sum));
-        let prior = if fresh < 1.0 { PRIOR } else { 0.0 };
-        View { now: self.mem.now, target: self.target, fresh, prior, load, delay }
+        let (prior_load, prior_latency) =
+            (mean(self.fleet_latency.ratio.sum), mean(self.fleet_latency.latency.sum));
+        let prior_weight = if fresh_bound < 1.0 { PRIOR_WEIGHT } else { 0.0 };
+        let (now, load_targets) = (self.state.now, self.load_targets);
+        FleetView { now, load_targets, fresh_bound, prior_weight, prior_load, prior_latency }
     }
 
     fn on_nodes(&mut self, whole: bool, entries: Vec<NodeEntry>) {
         if whole {
-            self.mem.nodes.values_mut().for_each(|n| n.state = NodeState::Gone);
-            self.mem.shards.values_mut().for_each(|s| s.nodes.clear());
+            self.state.nodes.values_mut().for_each(|n| n.state = NodeState::Gone);
+            self.state.shards.values_mut().for_each(|s| s.nodes.clear());
         }
-        for e in entries {
-            let node = self.mem.nodes.entry(e.node).or_insert_with(|| Node::new(&e, SMOOTHING));
-            if e.started.is_some() && node.started.is_none_or(|t| Some(t) < e.started) {
-                // A new process: nothing held against the old one stands, nor does its measured load.
-                node.started = e.started;
-                (node.failures, node.hold, node.unheard) = (0, 0, None);
-                node.own = Mean::over(SMOOTHING);
-                node.count = None;
+        for entry in entries {
+            let node = self.state.nodes.entry(entry.node).or_insert_with(|| Node::new(&entry, SMOOTHING));
+            if entry.started.is_some() && node.started.is_none_or(|t| Some(t) < entry.started) {
+                // A new process: neither the failures nor the measured load of the old one apply to it.
+                node.started = entry.started;
+                (node.failures, node.backoff_until, node.unanswered_since) = (0, 0, None);
+                node.latency = LatencyMean::new(SMOOTHING);
+                node.in_flight_at_answer = None;
             }
-            self.mem.relist(&e, SMOOTHING);
+            self.state.apply_entry(&entry, SMOOTHING);
         }
-        // Where nothing waits there is nothing to send: a change costs itself and what is open, not the list.
-        self.mem.dirty.extend(self.mem.requests.values().filter_map(|o| Some(o.place?.0)));
+        // Only shards with waiting requests have anything to send, so that the cost of a change grows with
+        // the change and the open requests, not with the list.
+        self.state.dirty_shards.extend(self.state.requests.values().filter_map(|o| Some(o.queued?.0)));
     }
 
-    fn on_request(&mut self, ask: Request) {
-        let now = self.mem.now;
-        if self.set.budget.is_some() {
-            self.mem.taken.push_back(now);
+    fn on_request(&mut self, request: Request) {
+        let now = self.state.now;
+        if self.settings.budget.is_some() {
+            self.state.request_times.push_back(now);
         }
-        let id = ask.id;
-        let (Some(class), Some(plan)) = (self.set.classes.get(ask.class), self.set.plans.get(ask.plan))
+        let id = request.id;
+        let (Some(class), Some(_)) =
+            (self.settings.classes.get(request.class), self.settings.plans.get(request.plan))
         else {
-            self.mem.actions.push(Action::Refuse { request: id, come_back: 0 });
+            self.state.actions.push(Action::Refuse { request: id, come_back: 0 });
             return;
         };
-        let hosts = f64::from(ask.hosts.max(1));
-        let born = self.mem.born.unwrap_or(now);
-        let volume = self.mem.volumes.entry(ask.volume).or_insert_with(|| Volume {
-            // Danger: this host may have been killed and restarted; its former self may have spent all of
-            // its part. The store begins empty at the start and has filled since.
-            limit: (plan.limit > 0.0).then(|| Store {
+        let in_order = class.in_order && request.key.is_some();
+        self.record_demand(&request);
+        let mut open = self.open_request(request);
+        self.assign_reserve(&mut open);
+        let (key, patience, wake_times) = (open.request.key, open.request.patience, open.wake_times());
+        self.state.requests.insert(id, open);
+        if patience <= 0 {
+            return self.finish_unserved(id, 0);
+        }
+        self.state.wakes.extend(wake_times.map(|at| (at, Wake::Request(id))));
+        if let (true, Some(key)) = (in_order, key) {
+            let order = self.state.key_orders.entry(key).or_default();
+            order.requests.push_back(id);
+            if order.requests.len() > 1 || now < order.paused_until {
+                return;
+            }
+        }
+        self.enqueue(id);
+    }
+
+    /// Counts a request's units as demand of its volume, whose record is created if it is new.
+    fn record_demand(&mut self, request: &Request) {
+        let now = self.state.now;
+        let plan = &self.settings.plans[request.plan];
+        let hosts = f64::from(request.hosts.max(1));
+        let host_started = self.state.started_at.unwrap_or(now);
+        let volume = self.state.volumes.entry(request.volume).or_insert_with(|| Volume {
+            // This host may have been killed and restarted, and the process before it may have spent its
+            // whole part of the limit. So the bucket is taken as empty at the start, and has refilled since.
+            limit: (plan.limit > 0.0).then(|| TokenBucket {
                 level: -plan.limit_slack / hosts,
-                at: born,
+                updated_at: host_started,
                 rate: plan.limit / hosts,
-                cap: plan.limit_burst / hosts,
+                capacity: plan.limit_burst / hosts,
             }),
-            reserve: Store {
-                level: plan.reserve + self.set.most_units,
-                at: now,
+            reserve: TokenBucket {
+                level: plan.reserve + self.settings.most_units,
+                updated_at: now,
                 rate: plan.reserve / hosts.sqrt(),
-                cap: plan.reserve / hosts.sqrt() + self.set.most_units,
+                capacity: plan.reserve / hosts.sqrt() + self.settings.most_units,
             },
-            seen: now,
-            used: 0.0,
-            kept: 0.0,
-            phase: 0.0,
-            asked: Fading::over(SMOOTHING),
+            last_request: now,
+            metered_use: 0.0,
+            held_back: 0.0,
+            share_phase: 0.0,
+            demand: DecayingSum::new(SMOOTHING),
         });
-        volume.seen = now;
-        volume.asked.add(now, ask.units);
-        let in_order = class.in_order && ask.key.is_some();
-        let (own_aim, deadline) = (now + class.aim, now + ask.patience);
-        // Danger: impatient clients repeat a request many times; all tries share one worth, and its aim runs
-        // from the first. A repeat is due when the try before it was, so that it counts as late in time. Also
-        // tells plain retries. Harm: where retries are not marked, a like request just after one that was
-        // not served is taken for its repeat.
-        let span = if ask.retry { SWEEP } else { REPEAT };
-        let before = self.mem.unserved.remove(&likeness(&ask)).filter(|u| now - u.ended < span);
-        // Danger: a repeat after that aim was refused at once, and so were all behind it, on an idle node. It
-        // is late work, with an aim of its own to be sent in. Harm: see `admits_late`.
+        volume.last_request = now;
+        volume.demand.add(now, request.units);
+    }
+
+    /// Sets a request's time limits, taking over the due time of an earlier try that ended unserved.
+    fn open_request(&mut self, request: Request) -> OpenRequest {
+        let now = self.state.now;
+        let latency_target = self.settings.classes[request.class].aim;
+        let (own_due, deadline) = (now + latency_target, now + request.patience);
+        // Impatient clients retry a request many times. All tries share one worth, and the latency target
+        // runs from the first try: a retry is due when the try before it was, so that it counts as late in
+        // time. Requests that are not marked as retries are recognised too. The cost: if clients do not mark
+        // retries, a request of the same fingerprint just after one that was not served is taken for its
+        // retry.
+        let window = if request.retry { SWEEP_INTERVAL } else { UNMARKED_RETRY_WINDOW };
+        let unserved = self.state.recent_unserved.remove(&fingerprint(&request));
+        let before = unserved.filter(|u| now - u.ended < window);
+        // A retry after that due time used to be refused at once, and so were all its successors, on an idle
+        // node. It is late work, with a latency target of its own to be sent in. For the cost see
+        // `admits_late`.
         let late = before.filter(|u| u.due <= now);
-        let first = before.map_or(own_aim, |u| u.due);
-        let due = if late.is_some() { own_aim } else { first }.min(deadline);
-        let mut open = Open::new(ask, RESERVE, first, due, deadline);
-        open.late = late.map(|u| u.ended);
-        // Late work leaves half of the reserve to what comes in time.
-        let kept = if late.is_some() { volume.reserve.cap / 2.0 } else { 0.0 };
-        if plan.reserve > 0.0 && volume.reserve.read(now) >= open.ask.units + kept {
-            volume.reserve.add(now, -open.ask.units);
+        let first_due = before.map_or(own_due, |u| u.due);
+        let due = if late.is_some() { own_due } else { first_due }.min(deadline);
+        // A client with little time would be kept for most of it and then refused, when it could have gone
+        // elsewhere. A request that is not sent in time for its answer to arrive by half of the client's time
+        // is refused then; an eighth of that half is left for the answer's way back. The cost: a late chance
+        // to be sent is lost.
+        let send_by = due.min(now + request.patience * 7 / 16);
+        let mut open = OpenRequest::new(request, RESERVE, first_due, due, deadline);
+        open.late_retry = late.map(|u| u.ended);
+        open.send_by = send_by;
+        open
+    }
+
+    /// Charges a request to its volume's reserve, or moves it to the share tier.
+    fn assign_reserve(&mut self, open: &mut OpenRequest) {
+        let now = self.state.now;
+        let plan = &self.settings.plans[open.request.plan];
+        let Some(volume) = self.state.volumes.get_mut(&open.request.volume) else { return };
+        // Late retries leave half of the reserve to requests in time.
+        let kept = if open.late_retry.is_some() { volume.reserve.capacity / 2.0 } else { 0.0 };
+        if plan.reserve > 0.0 && volume.reserve.level_at(now) >= open.request.units + kept {
+            volume.reserve.add(now, -open.request.units);
         } else {
-            open.step = SHARE;
+            open.tier = SHARE;
         }
-        // Danger: a client with little time is held for most of it and then turned away, when it could have
-        // gone elsewhere. What is not sent in time for its answer to be there by half of its time is answered
-        // then: an eighth of that half is for the way back. Harm: a late place is lost.
-        open.unsent = due.min(now + open.ask.patience * 7 / 16);
-        let (key, patience, ends) = (open.ask.key, open.ask.patience, open.ends());
-        self.mem.requests.insert(id, open);
-        if patience <= 0 {
-            return self.finish(id, 0);
-        }
-        self.mem.wakes.extend(ends.map(|at| (at, Wake::Request(id))));
-        if let (true, Some(key)) = (in_order, key) {
-            let turn = self.mem.turns.entry(key).or_default();
-            turn.line.push_back(id);
-            if turn.line.len() > 1 || now < turn.rest {
-                return;
-            }
-        }
-        self.enqueue(id);
     }
 
     pub(crate) fn on_wake(&mut self, wake: Wake) {
-        let now = self.mem.now;
         match wake {
-            Wake::Request(id) => {
-                let Some(open) = self.mem.requests.get_mut(&id).filter(|o| !o.streaming) else { return };
-                if now >= open.deadline {
-                    self.finish(id, 0);
-                } else if now >= open.due {
-                    // Danger: work for late answers crowds out what could still be in time, and a client that
-                    // is held back cannot come again. What is due and not out is answered now. Also clears
-                    // the queue of a dead node. Harm: what a late answer earns is lost on an idle node.
-                    if !open.out() {
-                        self.finish(id, 0);
-                    }
-                } else if open.unwritten() {
-                    self.finish(id, 0);
-                }
-            }
-            Wake::Key(key) => self.next_turn(key),
-            Wake::Shard(shard) => {
-                if let Some(s) = self.mem.shards.get_mut(&shard) {
-                    s.wake = None;
+            Wake::Request(id) => self.check_time_limits(id),
+            Wake::Key(key) => self.start_next_of_key(key),
+            Wake::Shard(shard_id) => {
+                if let Some(shard) = self.state.shards.get_mut(&shard_id) {
+                    shard.wake = None;
                 }
-                self.mem.dirty.insert(shard);
+                self.state.dirty_shards.insert(shard_id);
             }
-            Wake::List => self.mem.actions.push(Action::Subscribe),
+            Wake::Subscribe => self.state.actions.push(Action::Subscribe),
             Wake::Sweep => self.sweep(),
         }
     }
+
+    /// Answers a request whose answer has not begun if one of its time limits is over.
+    fn check_time_limits(&mut self, id: RequestId) {
+        let now = self.state.now;
+        let Some(open) = self.state.requests.get_mut(&id).filter(|o| !o.streaming) else { return };
+        if now >= open.deadline {
+            self.finish_unserved(id, 0);
+        } else if now >= open.due {
+            // Work for late answers displaces requests that could still be in time, and a client that is kept
+            // waiting cannot retry. A request that is due and has no attempt in flight is answered now. This
+            // also clears the queue of a dead node. The cost: what a late answer earns is lost on an idle
+            // node.
+            if !open.is_in_flight() {
+                self.finish_unserved(id, 0);
+            }
+        } else if open.is_unwritten() {
+            self.finish_unserved(id, 0);
+        }
+    }
 }
--- a/crates/decisions/src/shards.rs
+++ b/crates/decisions/src/shards.rs
@@ -1,123 +1,130 @@
-//! The requests that wait at each shard, by worth and by time. Nothing is decided here.
+//! The queues of each shard: requests ordered by worth, and then by arrival or by due time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
 use crate::sums::*;
 
-/// A request's place among those that wait at a shard.
+/// A request's sort keys in the queues of a shard.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
-    /// What its units are worth, the most valuable first.
+pub(crate) struct QueueEntry {
+    /// Rank by the worth of its units; the lowest rank is worth most and goes first.
     pub(crate) rank: i32,
-    /// The end of its aim, negative: the latest first.
-    pub(crate) due: Micros,
+    /// Its due time, negated, so that the latest due sorts first.
+    pub(crate) negated_due: Micros,
     pub(crate) id: RequestId,
-    /// Until when it waits well within its aim.
-    pub(crate) prompt: Micros,
+    /// If it still waits after this time, its queue counts as behind.
+    pub(crate) prompt_until: Micros,
 }
 
-impl Place {
-    /// Its turn among those that wait for a right: by worth, then in order of arrival.
-    pub(crate) fn turn(&self) -> (i32, RequestId) {
+impl QueueEntry {
+    /// Sort key among the requests that wait for a retry token: by worth, then in order of arrival.
+    pub(crate) fn token_order(&self) -> (i32, RequestId) {
         (self.rank, self.id)
     }
 }
 
-/// Requests of one worth that wait at a shard, in both orders.
+/// The waiting requests of one rank, in both orders.
 #[derive(Default)]
 pub(crate) struct Queue {
     pub(crate) latest_due: BTreeSet<(Micros, RequestId)>,
     pub(crate) by_arrival: BTreeSet<(Micros, RequestId)>,
-    /// What waited here was not sent well within its aim.
+    /// Requests of this queue were not sent well within their latency target.
     pub(crate) behind: bool,
 }
 
 impl Queue {
-    /// Whether some request has waited for too long.
+    /// Whether its first request has waited beyond its `prompt_until`.
     pub(crate) fn is_overdue(&self, now: Micros) -> bool {
-        self.by_arrival.first().is_some_and(|(prompt, _)| *prompt < now)
+        self.by_arrival.first().is_some_and(|(prompt_until, _)| *prompt_until < now)
     }
 }
 
 pub(crate) struct Shard {
+    /// Nodes that are on and hold the shard, in order of id.
     pub(crate) nodes: Vec<NodeId>,
-    /// Requests taken for it.
-    pub(crate) asks: u64,
-    /// Requests that wait, by rank, and how many there are in all.
+    /// Requests received that named this shard.
+    pub(crate) requests: u64,
+    /// Waiting requests by rank.
     pub(crate) queues: BTreeMap<i32, Queue>,
+    /// Number of requests in all queues.
     pub(crate) waiting: usize,
-    pub(crate) by_key: BTreeMap<KeyId, BTreeSet<Place>>,
-    /// Of those that wait, those whose next attempt takes a right.
-    pub(crate) needy: BTreeSet<Place>,
-    /// Those that wait for a right, by turn; none of them is in a queue, or counted as waiting.
-    pub(crate) awaiting: BTreeMap<(i32, RequestId), Place>,
+    /// Waiting requests by key.
+    pub(crate) by_key: BTreeMap<KeyId, BTreeSet<QueueEntry>>,
+    /// Queued requests whose next attempt uses a retry token.
+    pub(crate) needing_token: BTreeSet<QueueEntry>,
+    /// Requests that wait for a retry token. None of them is in a queue or counted in `waiting`.
+    pub(crate) awaiting_token: BTreeMap<(i32, RequestId), QueueEntry>,
+    /// Key of the request sent last.
     pub(crate) last_key: Option<KeyId>,
-    /// Units beyond the reserve that each volume asked for lately, and the weight of its plan.
-    pub(crate) asked: BTreeMap<VolumeId, (Fading, f64)>,
-    pub(crate) reserved: Fading,
-    pub(crate) served: Fading,
-    /// Best service seen, fading slowly: what the node can do for this host.
+    /// Recent demand beyond the reserve in units, and the weight of the plan, by volume.
+    pub(crate) demand: BTreeMap<VolumeId, (DecayingSum, f64)>,
+    /// Recent demand within the reserves, in units.
+    pub(crate) reserved: DecayingSum,
+    /// Units served recently.
+    pub(crate) served: DecayingSum,
+    /// Highest value of `served`, decaying slowly: an estimate of what the shard can do for this host.
     pub(crate) peak: f64,
-    pub(crate) peak_at: Micros,
+    pub(crate) peak_updated_at: Micros,
+    /// Time of the earliest pending wake for this shard.
     pub(crate) wake: Option<Micros>,
 }
 
 impl Shard {
-    pub(crate) fn new(span: f64) -> Self {
+    pub(crate) fn new(time_constant: f64) -> Self {
         Shard {
             nodes: Vec::new(),
-            asks: 0,
+            requests: 0,
             queues: BTreeMap::new(),
             waiting: 0,
             by_key: BTreeMap::new(),
-            needy: BTreeSet::new(),
-            awaiting: BTreeMap::new(),
+            needing_token: BTreeSet::new(),
+            awaiting_token: BTreeMap::new(),
             last_key: None,
-            asked: BTreeMap::new(),
-            reserved: Fading::over(span),
-            served: Fading::over(span),
+            demand: BTreeMap::new(),
+            reserved: DecayingSum::new(time_constant),
+            served: DecayingSum::new(time_constant),
             peak: 0.0,
-            peak_at: 0,
+            peak_updated_at: 0,
             wake: None,
         }
     }
 }
 
 impl Shard {
-    /// Notes units that a node of it has served; the best service seen fades over the span.
-    pub(crate) fn serve(&mut self, now: Micros, units: f64, fade: f64) {
+    /// Records served units; the peak decays with the time constant `peak_decay`, in microseconds.
+    pub(crate) fn record_served(&mut self, now: Micros, units: f64, peak_decay: f64) {
         self.served.add(now, units);
-        self.peak *= (-((now - self.peak_at) as f64) / fade).exp();
-        self.peak = self.peak.max(self.served.read(now));
-        self.peak_at = now;
+        self.peak *= (-((now - self.peak_updated_at) as f64) / peak_decay).exp();
+        self.peak = self.peak.max(self.served.value_at(now));
+        self.peak_updated_at = now;
     }
-    pub(crate) fn insert(&mut self, place: Place, key: Option<KeyId>, needy: bool) {
-        let queue = self.queues.entry(place.rank).or_default();
-        queue.latest_due.insert((place.due, place.id));
-        queue.by_arrival.insert((place.prompt, place.id));
+    pub(crate) fn insert(&mut self, entry: QueueEntry, key: Option<KeyId>, needs_token: bool) {
+        let queue = self.queues.entry(entry.rank).or_default();
+        queue.latest_due.insert((entry.negated_due, entry.id));
+        queue.by_arrival.insert((entry.prompt_until, entry.id));
         self.waiting += 1;
-        if needy {
-            self.needy.insert(place);
+        if needs_token {
+            self.needing_token.insert(entry);
         }
         if let Some(key) = key {
-            self.by_key.entry(key).or_default().insert(place);
+            self.by_key.entry(key).or_default().insert(entry);
         }
     }
-    /// Takes a request out of its queue, which is returned.
-    pub(crate) fn remove(&mut self, place: Place, key: Option<KeyId>) -> Option<&mut Queue> {
-        self.needy.remove(&place);
+    /// Removes a request from its queue and returns that queue.
+    pub(crate) fn remove(&mut self, entry: QueueEntry, key: Option<KeyId>) -> Option<&mut Queue> {
+        self.needing_token.remove(&entry);
         if let Some(key) = key
-            && let Some(line) = self.by_key.get_mut(&key)
+            && let Some(same_key) = self.by_key.get_mut(&key)
         {
-            line.remove(&place);
-            if line.is_empty() {
+            same_key.remove(&entry);
+            if same_key.is_empty() {
                 self.by_key.remove(&key);
             }
         }
-        let queue = self.queues.get_mut(&place.rank)?;
-        queue.latest_due.remove(&(place.due, place.id));
-        queue.by_arrival.remove(&(place.prompt, place.id));
+        let queue = self.queues.get_mut(&entry.rank)?;
+        queue.latest_due.remove(&(entry.negated_due, entry.id));
+        queue.by_arrival.remove(&(entry.prompt_until, entry.id));
         self.waiting -= 1;
         Some(queue)
     }
--- a/crates/decisions/src/sums.rs
+++ b/crates/decisions/src/sums.rs
@@ -1,84 +1,93 @@
-//! Sums over time: fading ones, means, stores that fill, and how requests spread.
+//! Accumulators over time: exponentially decaying sums, latency means, token buckets and shard usage.
 
 use crate::interface::Micros;
 
-/// A sum that fades over a span, in microseconds.
+/// A sum whose terms decay exponentially.
 #[derive(Clone, Copy)]
-pub(crate) struct Fading {
-    pub(crate) span: f64,
+pub(crate) struct DecayingSum {
+    /// Time constant of the decay, in microseconds.
+    pub(crate) time_constant: f64,
+    /// The sum as of `updated_at`.
     pub(crate) sum: f64,
-    pub(crate) at: Micros,
+    pub(crate) updated_at: Micros,
 }
 
-impl Fading {
-    pub(crate) fn over(span: f64) -> Self {
-        Fading { span, sum: 0.0, at: 0 }
+impl DecayingSum {
+    pub(crate) fn new(time_constant: f64) -> Self {
+        DecayingSum { time_constant, sum: 0.0, updated_at: 0 }
     }
-    pub(crate) fn read(&self, now: Micros) -> f64 {
-        self.sum * (-((now - self.at) as f64) / self.span).exp()
+    pub(crate) fn value_at(&self, now: Micros) -> f64 {
+        self.sum * (-((now - self.updated_at) as f64) / self.time_constant).exp()
     }
     pub(crate) fn add(&mut self, now: Micros, x: f64) {
-        self.sum = self.read(now) + x;
-        self.at = now;
+        self.sum = self.value_at(now) + x;
+        self.updated_at = now;
     }
 }
 
-/// Smoothed latencies: their ratios to the aim, themselves, and the weight of both.
+/// Decaying sums of latencies and of their ratios to the latency target, with the weight of both. For all
+/// nodes together the terms are logarithms, for a single node the values themselves.
 #[derive(Clone, Copy)]
-pub(crate) struct Mean {
-    pub(crate) ratio: Fading,
-    pub(crate) delay: Fading,
-    pub(crate) weight: Fading,
+pub(crate) struct LatencyMean {
+    pub(crate) ratio: DecayingSum,
+    pub(crate) latency: DecayingSum,
+    pub(crate) weight: DecayingSum,
 }
 
-impl Mean {
-    pub(crate) fn over(span: f64) -> Self {
-        Mean { ratio: Fading::over(span), delay: Fading::over(span), weight: Fading::over(span) }
+impl LatencyMean {
+    pub(crate) fn new(time_constant: f64) -> Self {
+        LatencyMean {
+            ratio: DecayingSum::new(time_constant),
+            latency: DecayingSum::new(time_constant),
+            weight: DecayingSum::new(time_constant),
+        }
     }
-    pub(crate) fn add(&mut self, now: Micros, ratio: f64, delay: f64) {
+    pub(crate) fn add(&mut self, now: Micros, ratio: f64, latency: f64) {
         self.ratio.add(now, ratio);
-        self.delay.add(now, delay);
+        self.latency.add(now, latency);
         self.weight.add(now, 1.0);
     }
 }
 
-/// A store of units that fills at a rate up to a cap.
+/// A token bucket: units that refill at a constant rate up to a capacity.
 #[derive(Clone, Copy)]
-pub(crate) struct Store {
+pub(crate) struct TokenBucket {
+    /// Units as of `updated_at`; may be negative.
     pub(crate) level: f64,
-    pub(crate) at: Micros,
+    pub(crate) updated_at: Micros,
+    /// Units a second.
     pub(crate) rate: f64,
-    pub(crate) cap: f64,
+    pub(crate) capacity: f64,
 }
 
-impl Store {
-    pub(crate) fn read(&self, now: Micros) -> f64 {
-        (self.level + self.rate * (now - self.at) as f64 / 1e6).min(self.cap)
+impl TokenBucket {
+    pub(crate) fn level_at(&self, now: Micros) -> f64 {
+        (self.level + self.rate * (now - self.updated_at) as f64 / 1e6).min(self.capacity)
     }
-    pub(crate) fn add(&mut self, now: Micros, x: f64) {
-        self.level = (self.read(now) + x).min(self.cap);
-        self.at = now;
+    pub(crate) fn add(&mut self, now: Micros, units: f64) {
+        self.level = (self.level_at(now) + units).min(self.capacity);
+        self.updated_at = now;
     }
 }
 
-/// How requests spread over the shards.
+/// How many of the shards this host's requests go to.
 #[derive(Default)]
-pub(crate) struct Spread {
-    /// Shards asked for, and those asked for once.
+pub(crate) struct ShardUsage {
+    /// Shards with at least one request.
     pub(crate) used: usize,
-    pub(crate) once: usize,
-    /// Requests counted.
-    pub(crate) asks: u64,
+    /// Shards with exactly one request.
+    pub(crate) used_once: usize,
+    pub(crate) requests: u64,
 }
 
-impl Spread {
-    /// One more request for a shard that was asked for so many times.
-    pub(crate) fn met(&mut self, asks: &mut u64) {
-        *asks += 1;
-        self.asks += 1;
-        match *asks {
-            1 => (self.used, self.once) = (self.used + 1, self.once + 1),
-            2 => self.once -= 1,
+impl ShardUsage {
+    /// Counts one more request for a shard; `shard_requests` is that shard's own count.
+    pub(crate) fn record(&mut self, shard_requests: &mut u64) {
+        *shard_requests += 1;
+        self.requests += 1;
+        match *shard_requests {
+            1 => (self.used, self.used_once) = (self.used + 1, self.used_once + 1),
+            2 => self.used_once -= 1,
             _ => {}
         }
     }
--- a/crates/decisions/src/sweep.rs
+++ b/crates/decisions/src/sweep.rs
@@ -1,55 +1,58 @@
-//! Forgetting: tables keep what a rule may still ask for. Nothing is decided here.
+//! Removes state that no rule needs any more, and closes requests.
 
 use crate::interface::*;
-use crate::scheduler::{SWEEP, Scheduler};
+use crate::scheduler::{SWEEP_INTERVAL, Scheduler};
 use crate::state::*;
 
 impl Scheduler {
-    /// Forgets what no rule needs any more.
+    /// Removes expired records and schedules the next sweep.
     pub(crate) fn sweep(&mut self) {
-        let now = self.mem.now;
-        self.mem.wakes.insert((now + SWEEP, Wake::Sweep));
-        self.mem.volumes.retain(|_, v| {
-            now - v.seen < SWEEP
-                || v.limit.is_some_and(|s| s.read(now) < s.cap)
-                || v.reserve.read(now) < v.reserve.cap
+        let now = self.state.now;
+        self.state.wakes.insert((now + SWEEP_INTERVAL, Wake::Sweep));
+        self.state.volumes.retain(|_, volume| {
+            now - volume.last_request < SWEEP_INTERVAL
+                || volume.limit.is_some_and(|bucket| bucket.level_at(now) < bucket.capacity)
+                || volume.reserve.level_at(now) < volume.reserve.capacity
         });
-        self.mem.unserved.retain(|_, u| now - u.ended < SWEEP);
-        self.mem.turns.retain(|_, t| !t.line.is_empty() || now < t.rest);
-        let window = self.set.cold_window;
-        self.mem.nodes.values_mut().for_each(|n| n.sends.retain(|s| s.0 > now - window));
-        let counted = now - self.set.budget.map_or(0, |b| b.window);
-        self.mem.taken.retain(|&t| t >= counted);
-        self.mem.further.retain(|&t| t >= counted);
-        self.mem.nodes.retain(|_, n| {
-            n.state != NodeState::Gone || !n.out.is_empty() || now - n.last_send <= window.max(SWEEP)
+        self.state.recent_unserved.retain(|_, unserved| now - unserved.ended < SWEEP_INTERVAL);
+        self.state.key_orders.retain(|_, order| !order.requests.is_empty() || now < order.paused_until);
+        let window = self.settings.cold_window;
+        self.state.nodes.values_mut().for_each(|n| n.recent_sends.retain(|s| s.0 > now - window));
+        let counted = now - self.settings.budget.map_or(0, |b| b.window);
+        self.state.request_times.retain(|&t| t >= counted);
+        self.state.retry_times.retain(|&t| t >= counted);
+        self.state.nodes.retain(|_, n| {
+            n.state != NodeState::Gone
+                || !n.in_flight.is_empty()
+                || now - n.last_send <= window.max(SWEEP_INTERVAL)
         });
-        for shard in self.mem.shards.values_mut() {
-            shard.asked.retain(|_, (f, _)| f.read(now) > 0.01);
+        for shard in self.state.shards.values_mut() {
+            shard.demand.retain(|_, (units, _)| units.value_at(now) > 0.01);
         }
     }
 
-    /// Ends a request here; it is forgotten once nothing of it is out.
-    pub(crate) fn close(&mut self, id: RequestId) {
+    /// Closes a request; it is removed once none of its attempts is in flight.
+    pub(crate) fn close_request(&mut self, id: RequestId) {
         self.dequeue(id, false);
-        let Some(open) = self.mem.requests.get_mut(&id) else { return };
+        let Some(open) = self.state.requests.get_mut(&id) else { return };
         if !open.finished {
             open.finished = true;
-            for at in open.ends() {
-                self.mem.wakes.remove(&(at, Wake::Request(id)));
+            for at in open.wake_times() {
+                self.state.wakes.remove(&(at, Wake::Request(id)));
             }
         }
-        if open.out() {
+        if open.is_in_flight() {
             return;
         }
-        let Some(open) = self.mem.requests.remove(&id) else { return };
-        let Some(key) = open.ask.key.filter(|_| self.set.classes[open.ask.class].in_order) else { return };
-        let Some(turn) = self.mem.turns.get_mut(&key) else { return };
-        if turn.line.front() == Some(&id) {
-            turn.line.pop_front();
-            self.next_turn(key);
+        let Some(open) = self.state.requests.remove(&id) else { return };
+        let in_order = self.settings.classes[open.request.class].in_order;
+        let Some(key) = open.request.key.filter(|_| in_order) else { return };
+        let Some(order) = self.state.key_orders.get_mut(&key) else { return };
+        if order.requests.front() == Some(&id) {
+            order.requests.pop_front();
+            self.start_next_of_key(key);
         } else {
-            turn.line.retain(|&r| r != id);
+            order.requests.retain(|&r| r != id);
         }
     }
 }
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -1,155 +1,180 @@
-//! Whether a request may go to a node now: the guards that every send passes.
+//! Whether a request may be sent to a node now: the checks that every send has to pass.
 
 use crate::interface::*;
 use crate::law::*;
 use crate::scheduler::Scheduler;
+use crate::settings::*;
 use crate::state::*;
 
-/// A request whose due time is nearer than this part of the node's fresh mean latency is late already.
-const FORESIGHT: f64 = 1.0;
+/// A request counts as late if it is due within this multiple of the node's recent mean latency.
+const LATENCY_MARGIN: f64 = 1.0;
 
+/// The result of the checks for one request and one node.
 pub(crate) enum Verdict {
-    Go,
+    Send,
     /// Not now; at the given time, or with the next event at the shard.
     Wait(Option<Micros>),
-    /// Never again: it is to be answered.
+    /// At no later time either: the request is to be answered.
     Never,
 }
 
-impl Open {
-    /// Attempts that went out, or are to.
+impl OpenRequest {
+    /// Attempts that were sent, or are about to be.
     pub(crate) fn tries(&self) -> usize {
-        self.attempts.iter().filter(|a| a.fate != Fate::NotSent).count()
+        self.attempts.iter().filter(|a| a.state != AttemptState::NotSent).count()
     }
 
-    /// Its next attempt is one of those that an allowance counts: a further one, or a client's repeat.
-    pub(crate) fn needs_right(&self) -> bool {
-        self.tries() > 0 || self.ask.retry
+    /// Its next attempt uses a retry token: it is a retry of this host, or the request is a client's retry.
+    pub(crate) fn needs_retry_token(&self) -> bool {
+        self.tries() > 0 || self.request.retry
     }
 }
 
 impl Class {
-    /// May a request of this class go to `node` although `a` may have run?
-    fn repeatable(&self, a: &Attempt, node: &Node, now: Micros) -> bool {
+    /// Whether a request of this class may be sent to `node` although `attempt` may have run.
+    fn may_repeat(&self, attempt: &Attempt, node: &Node, now: Micros) -> bool {
         match self.repeats {
             Repeats::Safe => true,
             Repeats::Unsafe => false,
             Repeats::Keyed { group, window } => {
-                let known = match group {
+                let recognised = match group {
                     Group::All => true,
-                    Group::Zone => a.zone == node.zone,
-                    Group::Shard => a.shard == node.shard,
+                    Group::Zone => attempt.zone == node.zone,
+                    Group::Shard => attempt.shard == node.shard,
                 };
-                known && now - a.sent < window - window / 50
+                recognised && now - attempt.sent < window - window / 50
             }
         }
     }
 }
 
 impl Scheduler {
-    /// Whether a send still stands at the moment in which it can be begun; if not, it was never sent.
+    /// Whether a sent attempt is still valid at the moment in which it can be begun; if not, it counts as
+    /// never sent.
     ///
-    /// Danger: an attempt that waits for its connection is begun late: its node drains by then or is another
-    /// process, its client's time is over, or the nodes forget its key. Harm: the request waits anew.
+    /// An attempt that awaits its connection begins late: by then its node may drain or be another process,
+    /// its client's time may be over, or the nodes may have forgotten its key. The cost: the request waits
+    /// again.
     pub fn stands(&self, now: Micros, id: RequestId, attempt: u32, node: NodeId) -> bool {
-        let (Some(open), Some(node)) = (self.mem.requests.get(&id), self.mem.nodes.get(&node)) else {
+        let (Some(open), Some(node)) = (self.state.requests.get(&id), self.state.nodes.get(&node)) else {
             return false;
         };
-        let (class, n) = (&self.set.classes[open.ask.class], attempt as usize);
-        let others = open.attempts.iter().enumerate().filter(|(m, a)| *m != n && a.doubtful());
-        open.attempts.get(n).is_some_and(|own| own.started == node.started)
+        let (class, index) = (&self.settings.classes[open.request.class], attempt as usize);
+        let others = open.attempts.iter().enumerate().filter(|(i, a)| *i != index && a.may_have_run());
+        open.attempts.get(index).is_some_and(|own| own.node_started == node.started)
             && !open.finished
             && now < open.deadline
             && node.state == NodeState::On
-            && others.map(|(_, a)| a).all(|a| class.repeatable(a, node, now))
+            && others.map(|(_, a)| a).all(|a| class.may_repeat(a, node, now))
     }
 
-    /// May this request go to this node now? Every rule that a send can break is checked here and nowhere
-    /// else, for first attempts, retries and second copies alike.
+    /// Whether a request may be sent to a node now. Every rule that a send can break is checked here and
+    /// nowhere else, for first attempts, retries and hedges alike.
     ///
-    /// Danger: every gateway keeps its own budget, and the sum over them, with clients that repeat at the
-    /// next one, holds down a shard that comes back. What it bears of repeats is dealt out from outside.
-    /// Harm: a further attempt that would have been served waits, or is turned away.
+    /// Each gateway keeps its own retry budget, and the sum over them, with clients that retry at the next
+    /// gateway, overloads a shard that recovers. The retries that the shard can take are allotted from
+    /// outside, as retry tokens. The cost: a retry that would have been served waits, or is refused.
     pub(crate) fn verdict(&self, id: RequestId, node: &Node) -> Verdict {
-        let needs_right = self.mem.requests.get(&id).is_some_and(Open::needs_right);
-        if needs_right && self.mem.rights.get(&node.shard).is_some_and(|rights| rights.left == 0) {
+        let needs_token = self.state.requests.get(&id).is_some_and(OpenRequest::needs_retry_token);
+        if needs_token && self.state.retry_tokens.get(&node.shard).is_some_and(|tokens| tokens.left == 0) {
             return Verdict::Wait(None);
         }
-        self.with_a_right(id, node)
+        self.verdict_with_token(id, node)
     }
 
-    /// The same if its shard had a right for it.
-    pub(crate) fn with_a_right(&self, id: RequestId, node: &Node) -> Verdict {
-        let now = self.mem.now;
-        let Some(open) = self.mem.requests.get(&id) else { return Verdict::Never };
-        let class = &self.set.classes[open.ask.class];
+    /// The same, if the shard had a retry token for the request.
+    pub(crate) fn verdict_with_token(&self, id: RequestId, node: &Node) -> Verdict {
+        let now = self.state.now;
+        let Some(open) = self.state.requests.get(&id) else { return Verdict::Never };
+        let class = &self.settings.classes[open.request.class];
         let tries = open.tries();
-        let most = self.set.most_attempts as usize;
-        if open.finished || open.streaming || now >= open.deadline || open.attempts.len() >= most {
+        let max_attempts = self.settings.most_attempts as usize;
+        if open.finished || open.streaming || now >= open.deadline || open.attempts.len() >= max_attempts {
             return Verdict::Never;
         }
         if node.state != NodeState::On {
             return Verdict::Wait(None);
         }
-        if open.out() && !self.set.second_copies {
+        if open.is_in_flight() && !self.settings.second_copies {
             return Verdict::Never;
         }
-        if !open.doubt().all(|a| class.repeatable(a, node, now)) {
+        if !open.uncertain_attempts().all(|a| class.may_repeat(a, node, now)) {
             return Verdict::Never;
         }
-        if let (true, Some(key)) = (class.in_order, open.ask.key) {
-            let mine = self
-                .mem
-                .turns
-                .get(&key)
-                .is_some_and(|t| t.line.front() == Some(&id) && (now >= t.rest || tries > 0));
-            if !mine {
-                return Verdict::Wait(None);
-            }
+        if !self.is_first_of_key(open, tries) {
+            return Verdict::Wait(None);
         }
-        if tries > 0 && !self.budget_left() {
+        if tries > 0 && !self.has_retry_budget() {
             return Verdict::Never;
         }
-        let volume = self.mem.volumes.get(&open.ask.volume).filter(|_| open.uncharged());
-        if let Some((store, kept)) = volume.and_then(|v| v.limit.map(|store| (store, v.kept))) {
-            // An even part of the shared store: sums of even parts never pass the whole.
-            let slack = self.set.plans[open.ask.plan].limit_slack / f64::from(open.ask.hosts.max(1));
-            let short = open.ask.units - slack - store.read(now) + kept;
-            if open.ask.units > slack + store.cap {
-                return Verdict::Never;
-            }
-            if short > 0.0 {
-                let at = now + (short / store.rate * 1e6).ceil() as Micros;
-                return if at >= open.deadline { Verdict::Never } else { Verdict::Wait(Some(at)) };
-            }
+        if let Err(verdict) = self.check_volume_limit(open) {
+            return verdict;
         }
-        if let Some(at) = self.cold(node, &open.ask) {
+        if let Some(at) = self.cold_node_wait(node, &open.request) {
             return Verdict::Wait(Some(at));
         }
-        let v = self.view();
-        // Danger: an answer after the aim takes node time from those in time. What the mean latency of the
-        // last second makes late is answered now. Harm: a request that would have been lucky is turned away.
-        let heard = now - node.last_answer < SMOOTHING as Micros;
-        if heard && now + (FORESIGHT * node.delay(&v)) as Micros > open.due {
+        self.check_node_bound(open, node)
+    }
+
+    /// Whether the order of its key lets a request run now; true for classes without order.
+    fn is_first_of_key(&self, open: &OpenRequest, tries: usize) -> bool {
+        let class = &self.settings.classes[open.request.class];
+        let (true, Some(key)) = (class.in_order, open.request.key) else { return true };
+        self.state.key_orders.get(&key).is_some_and(|order| {
+            order.requests.front() == Some(&open.request.id)
+                && (self.state.now >= order.paused_until || tries > 0)
+        })
+    }
+
+    /// Checks a request that is not charged yet against this host's part of its volume's limit.
+    fn check_volume_limit(&self, open: &OpenRequest) -> Result<(), Verdict> {
+        let now = self.state.now;
+        let volume = self.state.volumes.get(&open.request.volume).filter(|_| open.is_uncharged());
+        if let Some((bucket, held_back)) = volume.and_then(|v| v.limit.map(|bucket| (bucket, v.held_back))) {
+            // An even part of the shared limit: the sum of the parts never exceeds the whole.
+            let plan = &self.settings.plans[open.request.plan];
+            let slack = plan.limit_slack / f64::from(open.request.hosts.max(1));
+            let missing = open.request.units - slack - bucket.level_at(now) + held_back;
+            if open.request.units > slack + bucket.capacity {
+                return Err(Verdict::Never);
+            }
+            if missing > 0.0 {
+                let at = now + (missing / bucket.rate * 1e6).ceil() as Micros;
+                return Err(if at >= open.deadline { Verdict::Never } else { Verdict::Wait(Some(at)) });
+            }
+        }
+        Ok(())
+    }
+
+    /// Checks a request against the node's latency, bound and pacing.
+    ///
+    /// An answer after the latency target takes node time from those in time. A request that the mean latency
+    /// of the last second would make late is answered now. The cost: a request that would have been faster
+    /// than the mean is refused.
+    fn check_node_bound(&self, open: &OpenRequest, node: &Node) -> Verdict {
+        let (now, view) = (self.state.now, self.fleet_view());
+        let answered_recently = now - node.last_answer < SMOOTHING as Micros;
+        if answered_recently && now + (LATENCY_MARGIN * node.mean_latency(&view)) as Micros > open.due {
             return Verdict::Never;
         }
-        let step = open.step;
-        if node.held() >= node.bound(step, &v).floor() && node.working(now, step) > 0.0 {
+        let tier = open.tier;
+        if node.occupied() >= node.bound(tier, &view).floor() && node.active(now, tier) > 0.0 {
             return Verdict::Wait(None);
         }
-        let pace = node.pace(step, &v);
-        if node.held() < 1.0 && now < pace {
-            return Verdict::Wait(Some(pace));
+        let paced_at = node.paced_at(tier, &view);
+        if node.occupied() < 1.0 && now < paced_at {
+            return Verdict::Wait(Some(paced_at));
         }
-        Verdict::Go
+        Verdict::Send
     }
 
-    /// One more attempt beyond a first keeps the budget.
-    fn budget_left(&self) -> bool {
-        self.set.budget.is_none_or(|b| {
-            let taken = self.mem.taken.iter().filter(|&&t| t > self.mem.now - b.window).count();
-            let further = self.mem.further.iter().filter(|&&t| t >= self.mem.now - b.window).count();
-            (further + 1) as f64 <= b.free + b.share * taken as f64
+    /// Whether the retry budget allows one more retry.
+    fn has_retry_budget(&self) -> bool {
+        self.settings.budget.is_none_or(|budget| {
+            let since = self.state.now - budget.window;
+            let requests = self.state.request_times.iter().filter(|&&t| t > since).count();
+            let retries = self.state.retry_times.iter().filter(|&&t| t >= since).count();
+            (retries + 1) as f64 <= budget.free + budget.share * requests as f64
         })
     }
 }
--- a/crates/decisions/src/wakes.rs
+++ b/crates/decisions/src/wakes.rs
@@ -1,28 +1,28 @@
-//! The wakes that are due, and the one timer for the next. Nothing is decided here.
+//! Runs the internal wakes that are due and keeps one host timer armed for the next.
 
 use crate::interface::*;
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Handles every wake that is due, those that are set meanwhile included.
-    pub(crate) fn wake_due(&mut self) {
-        while let Some(&(at, wake)) = self.mem.wakes.first()
-            && at <= self.mem.now
+    /// Handles every wake that is due, including those added while it runs.
+    pub(crate) fn run_due_wakes(&mut self) {
+        while let Some(&(at, wake)) = self.state.wakes.first()
+            && at <= self.state.now
         {
-            self.mem.wakes.pop_first();
+            self.state.wakes.pop_first();
             self.on_wake(wake);
         }
     }
 
-    /// Sets a timer for the next wake, unless an earlier one is set.
+    /// Sets a timer for the next wake, unless an earlier timer is armed.
     pub(crate) fn arm_timer(&mut self) {
-        if let Some(&(at, _)) = self.mem.wakes.first()
-            && self.mem.armed.is_none_or(|armed| at < armed)
+        if let Some(&(at, _)) = self.state.wakes.first()
+            && self.state.timer_at.is_none_or(|armed| at < armed)
         {
-            self.mem.armed = Some(at);
-            self.mem.token += 1;
-            let after = (at - self.mem.now).max(1);
-            self.mem.actions.push(Action::SetTimer { after, token: self.mem.token });
+            self.state.timer_at = Some(at);
+            self.state.timer_token += 1;
+            let after = (at - self.state.now).max(1);
+            self.state.actions.push(Action::SetTimer { after, token: self.state.timer_token });
         }
     }
 }
