--- a/crates/decisions/tests/actions.rs
+++ b/crates/decisions/tests/actions.rs
@@ -1,5 +1,5 @@
-//! The actions that drawn events lead to, as one digest for each shape and seed: what a change that moves code alone, or
-//! adds an event that nobody sends, must leave as it was.
+//! Digests of the actions that random events lead to, for each variant of the settings and each seed. A
+//! change that only moves or renames code, or adds an event that is not sent, must keep them.
 
 mod common;
 use common::*;
@@ -7,30 +7,30 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 const STEPS: u64 = 4000;
 
-/// Of each shape and seed: how many events and actions, and the digest of the actions with their times.
+/// Variant, seed, number of events, number of actions, and digest of the actions with their times.
 fn digests() -> Vec<(&'static str, u64, u64, usize, String)> {
     let mut all = Vec::new();
-    for (name, set) in drawn::shapes() {
+    for (name, host_settings) in random_events::variants() {
         for seed in SEEDS {
-            let h = drawn::play(set.clone(), seed, STEPS, |_, _| {});
+            let host = random_events::run_events(host_settings.clone(), seed, STEPS, |_, _| {});
             let mut hash = blake3::Hasher::new();
-            for (at, action) in &h.log {
+            for (at, action) in &host.log {
                 hash.update(format!("{at} {action:?}\n").as_bytes());
             }
-            all.push((name, seed, h.events, h.log.len(), hash.finalize().to_hex()[..16].to_owned()));
+            all.push((name, seed, host.events, host.log.len(), hash.finalize().to_hex()[..16].to_owned()));
         }
     }
     all
 }
 
-/// Of the scheduler as it was in one file, before it was split by moves alone (2026-12-02).
-const BEFORE: [(&str, u64, u64, usize, &str); 12] = [
+/// Digests of the scheduler while it was a single file, before it was split by moves alone (2026-12-02).
+const EXPECTED: [(&str, u64, u64, usize, &str); 12] = [
     ("host", 1, 8280, 7368, "5d6f97ce9344736d"),
     ("host", 2, 8364, 7401, "33b29f381f131754"),
     ("host", 3, 8623, 7572, "62417236424885e8"),
-    ("crowd", 1, 7581, 7299, "7e79ee2bf101ebbe"),
-    ("crowd", 2, 8255, 7871, "2c4b4d5303aa11cf"),
-    ("crowd", 3, 7772, 7371, "39e099b9c2cb2232"),
+    ("large_fleet", 1, 7581, 7299, "7e79ee2bf101ebbe"),
+    ("large_fleet", 2, 8255, 7871, "2c4b4d5303aa11cf"),
+    ("large_fleet", 3, 7772, 7371, "39e099b9c2cb2232"),
     ("copies", 1, 8529, 7524, "00fabac0616cd370"),
     ("copies", 2, 7823, 7053, "429b315d570c9739"),
     ("copies", 3, 8711, 7623, "325fbc1bcd60caa0"),
@@ -39,30 +39,30 @@
     ("bare", 3, 7664, 6581, "2426050779495e33"),
 ];
 
-/// Danger: the law uses `exp` and `ln` of the system's library, of which the last bit may differ from one processor to
-/// the next; such a bit can move an action. So this is run where the code moves and not by everybody everywhere.
+/// The law uses `exp` and `ln` of the system's library, whose last bit may differ between processors, and one
+/// such bit can change an action. So this test only runs on request, when code is moved.
 #[test]
-#[ignore = "the figures hold where exp and ln round as on the machine that wrote them down"]
-fn the_actions_are_those_of_before() {
+#[ignore = "the digests hold where exp and ln round as on the machine that recorded them"]
+fn actions_match_the_recorded_digests() {
     let now = digests();
     for row in &now {
         println!("{row:?}");
     }
     let now: Vec<_> = now.iter().map(|(n, s, e, a, d)| (*n, *s, *e, *a, d.as_str())).collect();
-    assert_eq!(now, BEFORE);
+    assert_eq!(now, EXPECTED);
 }
 
-/// Whoever is told of more rights than it can use acts as one that is told nothing.
+/// A scheduler with more retry tokens than it can use acts as one without any allowance.
 #[test]
-fn rights_in_plenty_change_no_action() {
-    for (name, set) in drawn::shapes() {
-        let untold = drawn::play(set.clone(), 7, 1500, |_, _| {});
-        let told = drawn::play(set, 7, 1500, |h, step| {
+fn unlimited_tokens_change_no_action() {
+    for (name, host_settings) in random_events::variants() {
+        let without = random_events::run_events(host_settings.clone(), 7, 1500, |_, _| {});
+        let with_tokens = random_events::run_events(host_settings, 7, 1500, |host, step| {
             for shard in 0..if step == 0 { 6 } else { 0 } {
-                assert!(h.allow(shard, u32::MAX, SECOND).is_empty());
+                assert!(host.set_retry_tokens(shard, u32::MAX, SECOND).is_empty());
             }
         });
-        assert!(untold.log.len() > 1000, "{name}: {} actions", untold.log.len());
-        assert!(untold.log == told.log, "{name}: the actions differ");
+        assert!(without.log.len() > 1000, "{name}: {} actions", without.log.len());
+        assert!(without.log == with_tokens.log, "{name}: the actions differ");
     }
 }
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -1,4 +1,4 @@
-//! `Event::AwaitLimit`: requests that wait for a right while their shard has none left.
+//! `Event::AwaitLimit`: requests that wait for a retry token while their shard has none left.
 
 mod common;
 
@@ -6,27 +6,27 @@
 use decisions::*;
 
 const ADVICE: Micros = 700_000;
-const LATER: Micros = 900_000;
+const LATER_ADVICE: Micros = 900_000;
 
-/// Nothing is allowed at shard 0, and so many may wait for a right.
-fn host_where(most: u32) -> Host {
-    host_of(class(Repeats::Safe), most)
+/// A host without tokens at shard 0, where `limit` requests may wait for one.
+fn host_with_limit(limit: u32) -> Host {
+    host_of(class(Repeats::Safe), limit)
 }
 
-fn host_of(class: Class, most: u32) -> Host {
-    let mut set = settings();
-    set.classes = vec![class];
-    let mut host = Host::with_nodes(set, &[entry(0, 0), entry(1, 1)]);
-    limit(&mut host, most);
-    host.allow(0, 0, ADVICE);
+fn host_of(class: Class, limit: u32) -> Host {
+    let mut host_settings = settings();
+    host_settings.classes = vec![class];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0), entry(1, 1)]);
+    set_limit(&mut host, limit);
+    host.set_retry_tokens(0, 0, ADVICE);
     host
 }
 
-fn limit(host: &mut Host, most: u32) {
-    host.give(Event::AwaitLimit { shard: ShardId(0), most });
+fn set_limit(host: &mut Host, limit: u32) {
+    host.handle(Event::AwaitLimit { shard: ShardId(0), most: limit });
 }
 
-fn repeat(id: u64) -> Request {
+fn retry(id: u64) -> Request {
     Request { retry: true, ..request(id) }
 }
 
@@ -34,137 +34,137 @@
     host.scheduler.take_shortages().into_iter().map(|s| (s.shard, s.waiting)).collect()
 }
 
-/// Guards against refusals a moment before there are rights.
+/// Guards against refusals just before there are tokens.
 #[test]
-fn a_repeat_that_finds_no_right_waits_and_goes_out_with_the_next_one() {
-    let mut h = host_where(4);
+fn a_retry_without_a_token_waits_and_is_sent_with_the_next_token() {
+    let mut host = host_with_limit(4);
     for id in 1..=3 {
-        assert!(h.ask(repeat(id)).iter().all(|a| matches!(a, Action::SetTimer { .. })));
+        assert!(host.submit(retry(id)).iter().all(|a| matches!(a, Action::SetTimer { .. })));
     }
-    assert_eq!(waiting(&mut h), [(ShardId(0), 3)]);
-    h.wait(5000);
-    assert_eq!(Host::sends(&h.allow(0, 2, ADVICE)), 2);
-    assert_eq!(h.sent(), [1, 2], "in order of arrival");
-    assert_eq!(waiting(&mut h), [(ShardId(0), 1)]);
-    assert_eq!(Host::sends(&h.allow(0, 1, ADVICE)), 1);
-    assert_eq!((h.sent(), waiting(&mut h)), (vec![1, 2, 3], vec![(ShardId(0), 0)]));
-    h.checker.assert_clean();
+    assert_eq!(waiting(&mut host), [(ShardId(0), 3)]);
+    host.advance(5000);
+    assert_eq!(Host::count_sends(&host.set_retry_tokens(0, 2, ADVICE)), 2);
+    assert_eq!(host.sent(), [1, 2], "in order of arrival");
+    assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
+    assert_eq!(Host::count_sends(&host.set_retry_tokens(0, 1, ADVICE)), 1);
+    assert_eq!((host.sent(), waiting(&mut host)), (vec![1, 2, 3], vec![(ShardId(0), 0)]));
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_further_attempt_waits_as_well() {
-    let mut h = host_where(4);
-    assert_eq!(Host::sends(&h.ask(request(1))), 1);
-    assert_eq!(Host::sends(&h.answer(1, 0, Outcome::Error)), 0);
-    assert_eq!((h.refused(1), waiting(&mut h)), (None, vec![(ShardId(0), 1)]));
-    assert_eq!(Host::sends(&h.allow(0, 1, ADVICE)), 1);
-    h.answer(1, 1, Outcome::Served);
-    h.checker.assert_clean();
+fn a_retry_by_the_host_waits_as_well() {
+    let mut host = host_with_limit(4);
+    assert_eq!(Host::count_sends(&host.submit(request(1))), 1);
+    assert_eq!(Host::count_sends(&host.answer(1, 0, Outcome::Error)), 0);
+    assert_eq!((host.refused(1), waiting(&mut host)), (None, vec![(ShardId(0), 1)]));
+    assert_eq!(Host::count_sends(&host.set_retry_tokens(0, 1, ADVICE)), 1);
+    host.answer(1, 1, Outcome::Served);
+    host.checker.assert_clean();
 }
 
 #[test]
-fn no_more_wait_than_may_and_the_rest_is_answered_at_once() {
-    let mut h = host_where(2);
+fn requests_beyond_the_limit_are_refused_at_once() {
+    let mut host = host_with_limit(2);
     for id in 1..=2000 {
-        h.ask(repeat(id));
+        host.submit(retry(id));
     }
-    let refused = (1..=2000).filter(|&id| h.refused(id) == Some(ADVICE)).count();
-    assert_eq!((refused, h.refused(1), h.refused(2)), (1998, None, None));
-    assert_eq!(waiting(&mut h), [(ShardId(0), 2)]);
-    assert!(h.sent().is_empty());
+    let refused = (1..=2000).filter(|&id| host.refused(id) == Some(ADVICE)).count();
+    assert_eq!((refused, host.refused(1), host.refused(2)), (1998, None, None));
+    assert_eq!(waiting(&mut host), [(ShardId(0), 2)]);
+    assert!(host.sent().is_empty());
 }
 
 #[test]
-fn a_lower_limit_answers_those_beyond_it_with_the_advice_that_comes_with_it() {
-    let mut h = host_where(4);
-    (1..=4).for_each(|id| _ = h.ask(repeat(id)));
-    limit(&mut h, 1);
-    let refuse = |id| Action::Refuse { request: RequestId(id), come_back: LATER };
-    assert_eq!(h.allow(0, 0, LATER), [refuse(4), refuse(3), refuse(2)]);
-    assert_eq!(waiting(&mut h), [(ShardId(0), 1)]);
+fn a_lower_limit_refuses_those_beyond_it_with_the_new_advice() {
+    let mut host = host_with_limit(4);
+    (1..=4).for_each(|id| _ = host.submit(retry(id)));
+    set_limit(&mut host, 1);
+    let refuse = |id| Action::Refuse { request: RequestId(id), come_back: LATER_ADVICE };
+    assert_eq!(host.set_retry_tokens(0, 0, LATER_ADVICE), [refuse(4), refuse(3), refuse(2)]);
+    assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
 }
 
-/// Guards against repeats that hold up what needs no right.
+/// Guards against retries that delay requests which need no token.
 #[test]
-fn what_needs_no_right_never_waits_behind_those_that_do() {
-    let sent = |repeats: u64| {
-        let mut h = host_where(200);
-        let line = |r: Request| Request { key: Some(KeyId(7)), ..r };
-        (1..=repeats).for_each(|id| _ = h.ask(line(repeat(id))));
-        // Longer than a queue waits well within the aim.
-        h.wait(150_000);
-        (1001..=1008).for_each(|id| _ = h.ask(line(request(id))));
-        h.wait(1000);
-        h.answer(1001, 0, Outcome::Served);
-        assert_eq!(h.scheduler.take_shortages().len(), usize::from(repeats > 0));
-        h.sent()
+fn a_request_that_needs_no_token_never_waits_behind_retries() {
+    let sent = |retries: u64| {
+        let mut host = host_with_limit(200);
+        let same_key = |r: Request| Request { key: Some(KeyId(7)), ..r };
+        (1..=retries).for_each(|id| _ = host.submit(same_key(retry(id))));
+        // Longer than a request may wait before its queue counts as behind.
+        host.advance(150_000);
+        (1001..=1008).for_each(|id| _ = host.submit(same_key(request(id))));
+        host.advance(1000);
+        host.answer(1001, 0, Outcome::Served);
+        assert_eq!(host.scheduler.take_shortages().len(), usize::from(retries > 0));
+        host.sent()
     };
     assert_eq!(sent(200), sent(0));
     assert!(sent(0).starts_with(&[1001, 1002, 1003, 1004, 1005]));
 }
 
 #[test]
-fn what_waits_in_vain_is_answered_in_its_time_with_the_advice() {
-    let mut h = host_where(4);
-    h.ask(repeat(1));
-    h.wait(199_000);
-    assert_eq!(h.refused(1), None);
-    h.wait(2000);
-    assert_eq!(h.refused(1), Some(ADVICE), "its aim is over");
-    assert_eq!(waiting(&mut h), [(ShardId(0), 0)]);
-    h.ask(Request { patience: 80_000, ..repeat(2) });
-    h.wait(36_000);
-    assert_eq!(h.refused(2), Some(ADVICE), "nearly half of its client's time is over");
-    h.checker.assert_clean();
+fn a_request_that_waits_in_vain_is_refused_in_time_with_the_advice() {
+    let mut host = host_with_limit(4);
+    host.submit(retry(1));
+    host.advance(199_000);
+    assert_eq!(host.refused(1), None);
+    host.advance(2000);
+    assert_eq!(host.refused(1), Some(ADVICE), "its latency target is over");
+    assert_eq!(waiting(&mut host), [(ShardId(0), 0)]);
+    host.submit(Request { patience: 80_000, ..retry(2) });
+    host.advance(36_000);
+    assert_eq!(host.refused(2), Some(ADVICE), "nearly half of its client's time is over");
+    host.checker.assert_clean();
 }
 
 #[test]
-fn one_in_order_does_not_wait_as_its_line_would() {
-    let mut h = host_of(Class { in_order: true, ..class(Repeats::Safe) }, 4);
-    let line = |r: Request| Request { key: Some(KeyId(5)), ..r };
-    h.ask(line(repeat(1)));
-    assert_eq!(h.refused(1), Some(ADVICE));
-    h.ask(line(request(2)));
-    assert_eq!(h.sent(), [2]);
+fn a_request_in_order_does_not_wait_as_its_key_would_wait_too() {
+    let mut host = host_of(Class { in_order: true, ..class(Repeats::Safe) }, 4);
+    let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
+    host.submit(same_key(retry(1)));
+    assert_eq!(host.refused(1), Some(ADVICE));
+    host.submit(same_key(request(2)));
+    assert_eq!(host.sent(), [2]);
 }
 
 #[test]
-fn one_that_is_withdrawn_waits_no_longer() {
-    let mut h = host_where(4);
-    h.ask(repeat(1));
-    h.ask(repeat(2));
-    assert_eq!(waiting(&mut h), [(ShardId(0), 2)]);
-    h.give(Event::Withdrawn(RequestId(1)));
-    assert_eq!(waiting(&mut h), [(ShardId(0), 1)]);
-    h.allow(0, 5, ADVICE);
-    assert_eq!(h.sent(), [2]);
+fn a_withdrawn_request_stops_waiting() {
+    let mut host = host_with_limit(4);
+    host.submit(retry(1));
+    host.submit(retry(2));
+    assert_eq!(waiting(&mut host), [(ShardId(0), 2)]);
+    host.handle(Event::Withdrawn(RequestId(1)));
+    assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
+    host.set_retry_tokens(0, 5, ADVICE);
+    assert_eq!(host.sent(), [2]);
 }
 
 #[test]
-fn what_is_worth_most_goes_first() {
-    let mut set = settings();
-    set.classes = vec![class(Repeats::Safe), Class { worth: 8.0, ..class(Repeats::Safe) }];
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
-    limit(&mut h, 3);
-    h.allow(0, 0, ADVICE);
-    h.ask(repeat(1));
-    h.ask(repeat(2));
-    h.ask(Request { class: 1, ..repeat(3) });
-    h.ask(Request { class: 1, ..repeat(4) });
-    assert_eq!(h.refused(2), Some(ADVICE), "it had the last turn");
-    let shortage = h.scheduler.take_shortages();
+fn the_request_of_most_worth_gets_the_first_token() {
+    let mut host_settings = settings();
+    host_settings.classes = vec![class(Repeats::Safe), Class { worth: 8.0, ..class(Repeats::Safe) }];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
+    set_limit(&mut host, 3);
+    host.set_retry_tokens(0, 0, ADVICE);
+    host.submit(retry(1));
+    host.submit(retry(2));
+    host.submit(Request { class: 1, ..retry(3) });
+    host.submit(Request { class: 1, ..retry(4) });
+    assert_eq!(host.refused(2), Some(ADVICE), "it was last in order");
+    let shortage = host.scheduler.take_shortages();
     assert_eq!(shortage, [Shortage { shard: ShardId(0), waiting: 3, worth: 8.0 }]);
-    h.allow(0, 2, ADVICE);
-    assert_eq!(h.sent(), [3, 4]);
+    host.set_retry_tokens(0, 2, ADVICE);
+    assert_eq!(host.sent(), [3, 4]);
 }
 
 #[test]
-fn those_that_wait_go_out_by_the_nodes_bound() {
-    let mut h = host_where(64);
-    (1..=64).for_each(|id| _ = h.ask(repeat(id)));
-    h.allow(0, 64, ADVICE);
-    assert_eq!(h.sent().len(), 4, "the bound of a fresh node is four");
-    h.answer(1, 0, Outcome::Served);
-    assert!(h.sent().len() > 4);
-    h.checker.assert_clean();
+fn waiting_requests_are_sent_within_the_bound_of_the_node() {
+    let mut host = host_with_limit(64);
+    (1..=64).for_each(|id| _ = host.submit(retry(id)));
+    host.set_retry_tokens(0, 64, ADVICE);
+    assert_eq!(host.sent().len(), 4, "the initial bound is four");
+    host.answer(1, 0, Outcome::Served);
+    assert!(host.sent().len() > 4);
+    host.checker.assert_clean();
 }
--- a/crates/decisions/tests/causes.rs
+++ b/crates/decisions/tests/causes.rs
@@ -1,18 +1,18 @@
-//! Why requests end unserved, as it is counted for operators.
+//! The counts of requests that ended unserved, by cause.
 
 mod common;
 
 use common::*;
 use decisions::*;
 
-fn repeat(id: u64) -> Request {
+fn retry(id: u64) -> Request {
     Request { retry: true, ..request(id) }
 }
 
 fn host(class: Class, nodes: &[NodeEntry]) -> Host {
-    let mut set = settings();
-    set.classes = vec![class];
-    Host::with_nodes(set, nodes)
+    let mut host_settings = settings();
+    host_settings.classes = vec![class];
+    Host::with_nodes(host_settings, nodes)
 }
 
 fn safe_host() -> Host {
@@ -24,76 +24,76 @@
 }
 
 #[test]
-fn want_of_a_right_is_told_whether_it_was_waited_for_or_not() {
-    let mut h = safe_host();
-    h.allow(0, 0, SECOND);
-    h.ask(repeat(1));
-    assert_eq!(counted(&h), [(Cause::NoRight, 1)]);
-    h.give(Event::AwaitLimit { shard: ShardId(0), most: 1 });
-    h.ask(repeat(2));
-    h.ask(repeat(3));
-    assert_eq!(counted(&h), [(Cause::NoRight, 2)], "the third is refused, the second waits");
-    h.wait(SECOND);
-    assert_eq!(counted(&h), [(Cause::NoRight, 3)]);
+fn want_of_a_token_is_counted_with_and_without_waiting_for_one() {
+    let mut host = safe_host();
+    host.set_retry_tokens(0, 0, SECOND);
+    host.submit(retry(1));
+    assert_eq!(counted(&host), [(Cause::NoRight, 1)]);
+    host.handle(Event::AwaitLimit { shard: ShardId(0), most: 1 });
+    host.submit(retry(2));
+    host.submit(retry(3));
+    assert_eq!(counted(&host), [(Cause::NoRight, 2)], "the third is refused, the second waits");
+    host.advance(SECOND);
+    assert_eq!(counted(&host), [(Cause::NoRight, 3)]);
 }
 
 #[test]
-fn a_shard_without_a_node_is_told_from_one_whose_node_is_full() {
-    let mut h = safe_host();
-    h.ask(Request { shard: Some(ShardId(5)), ..request(1) });
-    h.wait(SECOND);
-    assert_eq!(counted(&h), [(Cause::NoNode, 1)]);
-    (10..20).for_each(|id| _ = h.ask(request(id)));
-    h.wait(SECOND / 4);
-    let held = 10 - Host::sends(&h.log.iter().map(|(_, a)| a.clone()).collect::<Vec<_>>()) as u64;
-    assert_eq!(counted(&h), [(Cause::NoNode, 1), (Cause::NotSentInTime, held)]);
+fn a_shard_without_a_node_is_distinguished_from_one_with_a_full_node() {
+    let mut host = safe_host();
+    host.submit(Request { shard: Some(ShardId(5)), ..request(1) });
+    host.advance(SECOND);
+    assert_eq!(counted(&host), [(Cause::NoNode, 1)]);
+    (10..20).for_each(|id| _ = host.submit(request(id)));
+    host.advance(SECOND / 4);
+    let unsent = 10 - Host::count_sends(&host.log.iter().map(|(_, a)| a.clone()).collect::<Vec<_>>()) as u64;
+    assert_eq!(counted(&host), [(Cause::NoNode, 1), (Cause::NotSentInTime, unsent)]);
 }
 
 #[test]
-fn a_silent_node_and_one_that_only_fails_are_told_apart() {
-    let mut h = safe_host();
-    h.ask(request(1));
-    h.wait(SECOND + 1);
-    assert_eq!(counted(&h), [(Cause::TimeUp, 1)]);
-    let mut h = safe_host();
-    h.ask(request(2));
+fn a_silent_node_is_distinguished_from_one_that_only_fails() {
+    let mut host = safe_host();
+    host.submit(request(1));
+    host.advance(SECOND + 1);
+    assert_eq!(counted(&host), [(Cause::TimeUp, 1)]);
+    let mut host = safe_host();
+    host.submit(request(2));
     for attempt in 0..4 {
-        h.answer(2, attempt, Outcome::Error);
+        host.answer(2, attempt, Outcome::Error);
     }
-    assert_eq!(counted(&h), [(Cause::NoFurtherAttempt, 1)]);
+    assert_eq!(counted(&host), [(Cause::NoFurtherAttempt, 1)]);
 }
 
 #[test]
-fn what_waits_for_the_one_before_it_on_its_key_is_told() {
-    let mut h = host(Class { in_order: true, ..class(Repeats::Safe) }, &[entry(0, 0)]);
-    let line = |r: Request| Request { key: Some(KeyId(5)), ..r };
-    h.ask(line(request(1)));
-    h.ask(line(Request { patience: SECOND / 10, ..request(2) }));
-    h.wait(SECOND / 8);
-    assert_eq!(counted(&h), [(Cause::BehindItsKey, 1)]);
+fn waiting_behind_another_request_of_the_key_is_counted() {
+    let mut host = host(Class { in_order: true, ..class(Repeats::Safe) }, &[entry(0, 0)]);
+    let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
+    host.submit(same_key(request(1)));
+    host.submit(same_key(Request { patience: SECOND / 10, ..request(2) }));
+    host.advance(SECOND / 8);
+    assert_eq!(counted(&host), [(Cause::BehindItsKey, 1)]);
 }
 
 #[test]
-fn a_limit_that_could_never_be_met_is_told() {
-    let mut set = settings();
-    set.plans = vec![Plan { limit: 1.0, limit_burst: 1.0, ..plan() }];
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
-    h.ask(Request { units: 5.0, ..request(1) });
-    assert_eq!(counted(&h), [(Cause::NoUse, 1)]);
+fn a_limit_that_can_never_be_met_is_counted() {
+    let mut host_settings = settings();
+    host_settings.plans = vec![Plan { limit: 1.0, limit_burst: 1.0, ..plan() }];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
+    host.submit(Request { units: 5.0, ..request(1) });
+    assert_eq!(counted(&host), [(Cause::NoUse, 1)]);
 }
 
 #[test]
-fn a_repeat_after_its_aim_that_finds_no_spare_room_is_told() {
-    let mut h = safe_host();
-    // The node's law gives nothing beyond the shares: what it holds is answered at twice the aim.
+fn a_late_retry_without_spare_capacity_is_counted() {
+    let mut host = safe_host();
+    // The node answers at twice the latency target, so that the law admits nothing beyond the shares.
     for id in 1..=8 {
-        h.ask(Request { patience: 3 * SECOND, ..request(id) });
+        host.submit(Request { patience: 3 * SECOND, ..request(id) });
     }
-    h.wait(400_000);
+    host.advance(400_000);
     for id in 1..=4 {
-        h.answer(id, 0, Outcome::Served);
+        host.answer(id, 0, Outcome::Served);
     }
-    h.ask(Request { retry: true, ..request(5) });
-    let causes = counted(&h);
+    host.submit(Request { retry: true, ..request(5) });
+    let causes = counted(&host);
     assert!(causes.contains(&(Cause::NoSpareRoom, 1)), "{causes:?}");
 }
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of schedulers around nodes that start cold, in virtual time: what all of them send to each in every window, held
-//! against what the settings allow it then. Calibrated against nothing.
-#![allow(dead_code, reason = "test and example take their own parts")]
+//! Simulates a fleet of schedulers and nodes that start cold, in virtual time. What all hosts together send
+//! to a node in each window is compared with what the settings allow at that time. The simulation is not
+//! calibrated.
+#![allow(dead_code, reason = "the test and the example each use a part")]
 
 mod volumes;
 mod work;
@@ -11,64 +12,66 @@
 use decisions::*;
 
 pub use volumes::Volumes;
-pub use work::{Sum, Work};
+pub use work::{Summary, Work};
 
 pub const SECOND: Micros = 1_000_000;
-/// Hosts learn their spread in this time; nodes are replaced between it and a second and a half later.
-const FIRST: Micros = 6 * SECOND;
+/// Until this time hosts learn how their requests are distributed over the shards; from then on nodes are
+/// replaced.
+const REPLACED_FROM: Micros = 6 * SECOND;
 const REPLACED_WITHIN: Micros = 1_500_000;
-const END: Micros = FIRST + REPLACED_WITHIN + 13 * SECOND;
-/// A way up takes up to this long, where it comes up late.
-const LATE: Micros = 250_000;
+const END: Micros = REPLACED_FROM + REPLACED_WITHIN + 13 * SECOND;
+/// Longest time that a late connection takes.
+const MAX_CONNECT_DELAY: Micros = 250_000;
 
-/// A fleet and its day.
+/// A fleet and the load on it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub seed: u64,
     pub hosts: u32,
     pub nodes: u32,
-    /// Requests of mean work that a cold node bears in a window.
-    pub calls: f64,
-    /// Volumes for each node; each lies at one to four shards and comes through one to three hosts.
+    /// Requests of mean work that a cold node can take in a window.
+    pub requests_per_window: f64,
+    /// Volumes for each node; each has one to four shards, and its requests come through one to three hosts.
     pub volumes: u32,
-    /// The most asked host gets so many times what the least asked one gets, and the most popular shard holds so many
-    /// times as many volumes as the least popular.
+    /// Ratio of the requests of the busiest host to those of the idlest, and of the volumes of the most
+    /// popular shard to those of the least popular.
     pub skew: (f64, f64),
-    /// Requests asked, as a part of what all nodes can do when warm.
+    /// Requests, as a fraction of what all nodes can serve when warm.
     pub load: f64,
-    /// Of a hundred hosts: those that start within the day, and those that are killed and start again at once.
+    /// Of a hundred hosts: how many start during the simulation, and how many are killed and restart at once.
     pub starts: (u64, u64),
-    /// All hosts that are killed are killed in one moment, as the first node is replaced.
-    pub herd: bool,
-    /// All requests are of mean work, so that turns can be used to the full.
+    /// All hosts that are killed are killed at the same time, when the first node is replaced.
+    pub killed_together: bool,
+    /// All requests are of mean work, so that slow-start slots can be used fully.
     pub mean_work: bool,
-    /// The part of its power that a node starts with, and how late lists reach hosts at most.
+    /// The fraction of its capacity that a node starts with.
     pub cold_from: f64,
-    pub lag: Micros,
-    /// Planted: hosts reckon with so many times what a cold node bears.
-    pub too_fast: f64,
+    /// Longest delay of a node list change.
+    pub list_delay: Micros,
+    /// Injected fault: the hosts' setting of a cold node's capacity is this multiple of the true one.
+    pub cold_units_factor: f64,
 }
 
 impl Fleet {
-    pub fn new(seed: u64, hosts: u32, calls: f64) -> Self {
+    pub fn new(seed: u64, hosts: u32, requests_per_window: f64) -> Self {
         Fleet {
             seed,
             hosts,
             nodes: 40,
-            calls,
+            requests_per_window,
             volumes: 5,
             skew: (5.0, 2.0),
             load: 0.7,
             starts: (10, 20),
-            herd: false,
+            killed_together: false,
             mean_work: false,
             cold_from: 0.25,
-            lag: 2 * SECOND,
-            too_fast: 1.0,
+            list_delay: 2 * SECOND,
+            cold_units_factor: 1.0,
         }
     }
 
-    /// What a host is told.
+    /// The settings of a host.
     pub fn settings(&self, index: u32) -> Settings {
         let class = Class {
             aim: 250_000,
@@ -100,7 +103,7 @@
             probes: false,
             advice: true,
             most_advice: SECOND,
-            cold_units: self.calls * 2.0 * self.too_fast,
+            cold_units: self.requests_per_window * 2.0 * self.cold_units_factor,
             cold_window: 2 * SECOND,
             cold_from: self.cold_from,
             warm_after: 12 * SECOND,
@@ -115,21 +118,21 @@
         }
     }
 
-    pub fn play(&self) -> Sum {
-        Day::new(self).play()
+    pub fn run(&self) -> Summary {
+        Simulation::new(self).run()
     }
 }
 
-/// A small generator of its own.
-pub struct Dice(u64);
+/// A random number generator of its own.
+pub struct TestRng(u64);
 
-impl Dice {
+impl TestRng {
     pub fn new(seed: u64) -> Self {
-        Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+        TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// Between 0 and 1, both left out.
-    pub fn part(&mut self) -> f64 {
+    /// A number between 0 and 1, both excluded.
+    pub fn unit_interval(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -137,227 +140,242 @@
     }
 
     pub fn below(&mut self, n: u64) -> u64 {
-        (self.part() * n as f64) as u64
+        (self.unit_interval() * n as f64) as u64
     }
 
     pub fn span(&mut self, from: Micros, to: Micros) -> Micros {
-        from + (self.part() * (to - from) as f64) as Micros
+        from + (self.unit_interval() * (to - from) as f64) as Micros
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    Asks(usize),
-    Again(usize, u64),
+enum SimEvent {
+    /// A new request at a host.
+    Request(usize),
+    /// The retry of a refused request at a host.
+    Retry(usize, u64),
+    /// A timer of a host: host, its process number, token.
     Timer(usize, u32, u64),
+    /// The end of an attempt: host, its process number, request, attempt.
     Answer(usize, u32, u64, u32),
-    Heard(usize, usize),
-    Starts(usize),
+    /// A host receives the node list up to this number of changes.
+    ListChange(usize, usize),
+    /// A host process starts.
+    Start(usize),
 }
 
 /// A request as its client knows it.
 #[derive(Clone, Copy)]
-struct Ask {
+struct ClientRequest {
     volume: usize,
     shard: u32,
     units: f64,
-    again: bool,
+    is_retry: bool,
 }
 
-/// An attempt that is out: its node, when it was sent, how it will end.
-type Out = (NodeId, Micros, Outcome);
+/// An attempt in flight: its node, when it was sent, and how it will end.
+type InFlight = (NodeId, Micros, Outcome);
 
-struct Day<'a> {
+struct Simulation<'a> {
     fleet: &'a Fleet,
-    dice: Dice,
+    rng: TestRng,
     volumes: Volumes,
-    steps: BinaryHeap<Reverse<(Micros, u64, Step)>>,
-    planned: u64,
+    events: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
+    /// Number of events scheduled so far; makes their order unique.
+    scheduled: u64,
     now: Micros,
-    /// Schedulers and which life of theirs it is.
+    /// The scheduler of each host, and how many processes it has had.
     hosts: Vec<(Option<Scheduler>, u32)>,
-    /// When each list entry was made: the cold node of a shard, in order.
-    listed: Vec<(Micros, u32)>,
-    /// How much of `listed` each host has heard.
-    heard: Vec<usize>,
-    asks: HashMap<u64, Ask>,
-    attempts: HashMap<(u64, u32), Out>,
+    /// Changes of the node list in order: when the node of a shard is replaced by a cold one.
+    replacements: Vec<(Micros, u32)>,
+    /// How many of the replacements each host has received.
+    received: Vec<usize>,
+    requests: HashMap<u64, ClientRequest>,
+    attempts: HashMap<(u64, u32), InFlight>,
+    /// Attempts sent, by request.
     tries: HashMap<u64, u32>,
-    next: u64,
+    next_id: u64,
     work: Work,
 }
 
-impl<'a> Day<'a> {
+impl<'a> Simulation<'a> {
     fn new(fleet: &'a Fleet) -> Self {
-        let mut dice = Dice::new(fleet.seed);
-        let volumes = Volumes::deal(fleet, &mut dice);
-        let mut listed: Vec<(Micros, u32)> =
-            (0..fleet.nodes).map(|n| (dice.span(FIRST, FIRST + REPLACED_WITHIN), n)).collect();
-        listed.sort_unstable();
-        let work = Work::new(fleet, &listed);
-        let mut day = Day {
+        let mut rng = TestRng::new(fleet.seed);
+        let volumes = Volumes::distribute(fleet, &mut rng);
+        let mut replacements: Vec<(Micros, u32)> =
+            (0..fleet.nodes).map(|n| (rng.span(REPLACED_FROM, REPLACED_FROM + REPLACED_WITHIN), n)).collect();
+        replacements.sort_unstable();
+        let work = Work::new(fleet, &replacements);
+        let mut simulation = Simulation {
             fleet,
-            dice,
+            rng,
             volumes,
-            steps: BinaryHeap::new(),
-            planned: 0,
+            events: BinaryHeap::new(),
+            scheduled: 0,
             now: 0,
             hosts: (0..fleet.hosts).map(|_| (None, 0)).collect(),
-            listed,
-            heard: vec![0; fleet.hosts as usize],
-            asks: HashMap::new(),
+            replacements,
+            received: vec![0; fleet.hosts as usize],
+            requests: HashMap::new(),
             attempts: HashMap::new(),
             tries: HashMap::new(),
-            next: 0,
+            next_id: 0,
             work,
         };
         for h in 0..fleet.hosts as usize {
-            let (late, again) = fleet.starts;
-            let drawn = day.dice.below(100);
-            let start = if drawn < late { day.dice.span(SECOND, END) } else { 0 };
-            day.plan(start, Step::Starts(h));
-            if (late..late + again).contains(&drawn) {
-                let at = if fleet.herd { FIRST } else { day.dice.span(FIRST, END) };
-                day.plan(at, Step::Starts(h));
+            let (late, restarted) = fleet.starts;
+            let drawn = simulation.rng.below(100);
+            let start = if drawn < late { simulation.rng.span(SECOND, END) } else { 0 };
+            simulation.schedule(start, SimEvent::Start(h));
+            if (late..late + restarted).contains(&drawn) {
+                let at = if fleet.killed_together {
+                    REPLACED_FROM
+                } else {
+                    simulation.rng.span(REPLACED_FROM, END)
+                };
+                simulation.schedule(at, SimEvent::Start(h));
             }
-            let first = day.dice.span(0, SECOND);
-            day.plan(first, Step::Asks(h));
-            for k in 0..day.listed.len() {
-                let at = day.listed[k].0 + day.dice.span(0, fleet.lag);
-                day.plan(at, Step::Heard(h, k + 1));
+            let first = simulation.rng.span(0, SECOND);
+            simulation.schedule(first, SimEvent::Request(h));
+            for k in 0..simulation.replacements.len() {
+                let at = simulation.replacements[k].0 + simulation.rng.span(0, fleet.list_delay);
+                simulation.schedule(at, SimEvent::ListChange(h, k + 1));
             }
         }
-        day
+        simulation
     }
 
-    fn plan(&mut self, at: Micros, step: Step) {
-        self.planned += 1;
-        self.steps.push(Reverse((at, self.planned, step)));
+    fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.scheduled += 1;
+        self.events.push(Reverse((at, self.scheduled, event)));
     }
 
-    fn play(mut self) -> Sum {
-        while let Some(Reverse((at, _, step))) = self.steps.pop()
+    fn run(mut self) -> Summary {
+        while let Some(Reverse((at, _, event))) = self.events.pop()
             && at < END
         {
             self.now = at;
-            self.step(step);
+            self.process(event);
         }
-        self.work.sum()
+        self.work.summary()
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
-            Step::Asks(h) => {
-                let gap = -self.dice.part().ln() / self.volumes.rates[h];
-                self.plan(self.now + (gap * 1e6) as Micros, Step::Asks(h));
-                let (volume, shard) = self.volumes.draw(h, &mut self.dice);
-                // One to eight units, two in the mean: half of them one, a few large ones.
-                let drawn = [1.0, 1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 5.0][self.dice.below(8) as usize];
-                let units = if self.fleet.mean_work { 2.0 } else { drawn };
-                self.ask(h, Ask { volume, shard, units, again: false });
+    fn process(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Request(h) => {
+                let gap = -self.rng.unit_interval().ln() / self.volumes.rates[h];
+                self.schedule(self.now + (gap * 1e6) as Micros, SimEvent::Request(h));
+                let (volume, shard) = self.volumes.random_request(h, &mut self.rng);
+                // One to five units, two in the mean: half of the requests have one, few are large.
+                let random_units = [1.0, 1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 5.0][self.rng.below(8) as usize];
+                let units = if self.fleet.mean_work { 2.0 } else { random_units };
+                self.submit(h, ClientRequest { volume, shard, units, is_retry: false });
             }
-            Step::Again(h, id) => {
-                if let Some(&ask) = self.asks.get(&id) {
-                    self.ask(h, Ask { again: true, ..ask });
+            SimEvent::Retry(h, id) => {
+                if let Some(&request) = self.requests.get(&id) {
+                    self.submit(h, ClientRequest { is_retry: true, ..request });
                 }
             }
-            Step::Timer(h, life, token) if self.hosts[h].1 == life => self.give(h, Event::Timer(token)),
-            Step::Answer(h, life, id, attempt) => {
+            SimEvent::Timer(h, process, token) if self.hosts[h].1 == process => {
+                self.handle(h, Event::Timer(token))
+            }
+            SimEvent::Answer(h, process, id, attempt) => {
                 let Some((node, sent, outcome)) = self.attempts.remove(&(id, attempt)) else { return };
                 if outcome == Outcome::Served {
-                    self.work.served(self.now, self.asks[&id].shard);
+                    self.work.record_served(self.now, self.requests[&id].shard);
                 }
-                if self.hosts[h].1 == life {
+                if self.hosts[h].1 == process {
                     let (request, latency) = (RequestId(id), self.now - sent);
                     let settled = outcome == Outcome::Served;
                     let (metered, elsewhere) = (None, 0.0);
                     let answer =
                         Answer { request, attempt, node, outcome, settled, latency, metered, elsewhere };
-                    self.give(h, Event::Answer(answer));
+                    self.handle(h, Event::Answer(answer));
                 }
             }
-            Step::Heard(h, many) => {
-                let before = self.heard[h];
-                self.heard[h] = before.max(many);
-                let entries = self.entries(before, self.heard[h]);
+            SimEvent::ListChange(h, count) => {
+                let before = self.received[h];
+                self.received[h] = before.max(count);
+                let entries = self.entries(before, self.received[h]);
                 if self.hosts[h].0.is_some() && !entries.is_empty() {
-                    self.give(h, Event::Nodes { whole: false, remembered: false, entries });
+                    self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
                 }
             }
-            Step::Starts(h) => {
+            SimEvent::Start(h) => {
                 let settings = self.fleet.settings(h as u32);
-                let life = self.hosts[h].1 + 1;
-                self.hosts[h] = (Some(Scheduler::new(settings, u64::from(life))), life);
+                let process = self.hosts[h].1 + 1;
+                self.hosts[h] = (Some(Scheduler::new(settings, u64::from(process))), process);
                 let old = (0..self.fleet.nodes).map(|n| entry(n, n, NodeState::On, None));
-                let entries: Vec<_> = old.chain(self.entries(0, self.heard[h])).collect();
-                self.give(h, Event::Nodes { whole: false, remembered: false, entries });
+                let entries: Vec<_> = old.chain(self.entries(0, self.received[h])).collect();
+                self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
             }
-            Step::Timer(..) => {}
+            SimEvent::Timer(..) => {}
         }
     }
 
-    /// The entries of the changes from one to another: the old node goes, a cold one comes.
+    /// The entries of a range of replacements: the old node drains, a cold one comes.
     fn entries(&self, from: usize, to: usize) -> Vec<NodeEntry> {
         let change = |&(at, n): &(Micros, u32)| {
             [entry(n, n, NodeState::Draining, None), entry(n + self.fleet.nodes, n, NodeState::On, Some(at))]
         };
-        self.listed[from..to].iter().flat_map(change).collect()
+        self.replacements[from..to].iter().flat_map(change).collect()
     }
 
-    fn ask(&mut self, h: usize, ask: Ask) {
+    fn submit(&mut self, h: usize, client_request: ClientRequest) {
         if self.hosts[h].0.is_none() {
             return;
         }
-        let id = self.next;
-        self.next += 1;
-        self.asks.insert(id, ask);
-        self.work.asked(self.now, ask.shard);
+        let id = self.next_id;
+        self.next_id += 1;
+        self.requests.insert(id, client_request);
+        self.work.record_request(self.now, client_request.shard);
         let request = Request {
             id: RequestId(id),
             class: 0,
             plan: 0,
-            volume: VolumeId(ask.volume as u64),
+            volume: VolumeId(client_request.volume as u64),
             key: Some(KeyId(id)),
-            shard: Some(ShardId(ask.shard)),
-            units: ask.units,
-            hosts: self.volumes.hosts_of(ask.volume),
+            shard: Some(ShardId(client_request.shard)),
+            units: client_request.units,
+            hosts: self.volumes.hosts_of(client_request.volume),
             patience: SECOND,
-            retry: ask.again,
+            retry: client_request.is_retry,
             client: None,
         };
-        self.give(h, Event::Request(request));
+        self.handle(h, Event::Request(request));
     }
 
-    fn give(&mut self, h: usize, event: Event) {
+    fn handle(&mut self, h: usize, event: Event) {
         let mut actions = Vec::new();
-        let (Some(scheduler), life) = &mut self.hosts[h] else { return };
-        let life = *life;
+        let (Some(scheduler), process) = &mut self.hosts[h] else { return };
+        let process = *process;
         scheduler.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => {
-                    self.plan(self.now + after, Step::Timer(h, life, token));
+                    self.schedule(self.now + after, SimEvent::Timer(h, process, token));
                 }
-                Action::Send { request, node, .. } => self.send(h, life, request.0, node),
-                Action::Refuse { request, come_back } if !self.asks[&request.0].again => {
-                    self.plan(self.now + come_back.max(1000), Step::Again(h, request.0));
+                Action::Send { request, node, .. } => self.send(h, process, request.0, node),
+                Action::Refuse { request, come_back } if !self.requests[&request.0].is_retry => {
+                    self.schedule(self.now + come_back.max(1000), SimEvent::Retry(h, request.0));
                 }
                 _ => {}
             }
         }
     }
 
-    /// An attempt goes out: some come late, as their connection does; some of those that come are turned away, and count too.
-    fn send(&mut self, h: usize, life: u32, id: u64, node: NodeId) {
-        let late = if self.dice.below(5) == 0 { self.dice.span(0, LATE) } else { 0 };
-        let outcome = if self.dice.below(10) == 0 { Outcome::Full } else { Outcome::Served };
+    /// Sends an attempt. Some arrive late because of their connection; some are rejected by the node, and
+    /// count too.
+    fn send(&mut self, h: usize, process: u32, id: u64, node: NodeId) {
+        let connect_delay = if self.rng.below(5) == 0 { self.rng.span(0, MAX_CONNECT_DELAY) } else { 0 };
+        let outcome = if self.rng.below(10) == 0 { Outcome::Full } else { Outcome::Served };
         let tries = self.tries.entry(id).or_default();
         let attempt = std::mem::replace(tries, *tries + 1);
-        let comes = self.now + 1000 + late;
+        let arrives = self.now + 1000 + connect_delay;
         self.attempts.insert((id, attempt), (node, self.now, outcome));
-        self.work.comes(comes, node.0, self.asks[&id].units);
-        let answered = comes + self.dice.span(20_000, 60_000);
-        self.plan(answered, Step::Answer(h, life, id, attempt));
+        self.work.record_arrival(arrives, node.0, self.requests[&id].units);
+        let answered = arrives + self.rng.span(20_000, 60_000);
+        self.schedule(answered, SimEvent::Answer(h, process, id, attempt));
     }
 }
 
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -1,30 +1,45 @@
-//! Holds a trace of events and actions against the rules; it knows nothing of the scheduler.
+//! Checks a trace of events and actions against the rules, independently of the scheduler.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use decisions::*;
 
-struct Past {
-    ask: Request,
+/// A sent attempt.
+struct SentAttempt {
+    zone: u32,
+    shard: ShardId,
+    sent: Micros,
+    /// How it ended, if it has.
+    outcome: Option<Outcome>,
+}
+
+/// A request since its arrival.
+struct Record {
+    request: Request,
     deadline: Micros,
-    /// Of each attempt: zone and shard of the node, when sent, and what is known of it.
-    attempts: Vec<(u32, ShardId, Micros, Option<Outcome>)>,
+    attempts: Vec<SentAttempt>,
 }
 
-/// Holds a trace of events and actions against the seven rules, as one host can.
+/// Checks a trace of events and actions against the seven rules, as far as one host can be held to them.
 pub struct Checker {
-    set: Settings,
-    born: Micros,
+    settings: Settings,
+    started_at: Micros,
+    /// Entry of each node, and when its state last changed from on.
     nodes: BTreeMap<NodeId, (NodeEntry, Micros)>,
-    past: BTreeMap<RequestId, Past>,
+    records: BTreeMap<RequestId, Record>,
+    /// Requests without a final answer, and their deadlines.
     pub open: BTreeMap<RequestId, Micros>,
-    pub out: BTreeMap<(RequestId, u32), (NodeId, Micros)>,
-    lines: BTreeMap<KeyId, VecDeque<RequestId>>,
-    rests: BTreeMap<KeyId, Micros>,
-    taken: Vec<Micros>,
-    further: Vec<Micros>,
-    stores: BTreeMap<VolumeId, (f64, Micros)>,
-    colds: BTreeMap<NodeId, Vec<(Micros, f64)>>,
+    /// Attempts in flight: their node, and when they were sent.
+    pub in_flight: BTreeMap<(RequestId, u32), (NodeId, Micros)>,
+    /// Requests of each key in order of arrival, for classes that keep the order.
+    key_orders: BTreeMap<KeyId, VecDeque<RequestId>>,
+    paused_until: BTreeMap<KeyId, Micros>,
+    request_times: Vec<Micros>,
+    retry_times: Vec<Micros>,
+    /// Level of each volume's limit, and when it was updated.
+    limits: BTreeMap<VolumeId, (f64, Micros)>,
+    /// Times and units of what each cold node was sent.
+    cold_sends: BTreeMap<NodeId, Vec<(Micros, f64)>>,
     pub breaches: Vec<String>,
 }
 
@@ -33,42 +48,44 @@
 }
 
 impl Checker {
-    pub fn new(set: Settings, born: Micros) -> Self {
+    pub fn new(settings: Settings, started_at: Micros) -> Self {
         Checker {
-            set,
-            born,
+            settings,
+            started_at,
             nodes: BTreeMap::new(),
-            past: BTreeMap::new(),
+            records: BTreeMap::new(),
             open: BTreeMap::new(),
-            out: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            rests: BTreeMap::new(),
-            taken: Vec::new(),
-            further: Vec::new(),
-            stores: BTreeMap::new(),
-            colds: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            key_orders: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
+            request_times: Vec::new(),
+            retry_times: Vec::new(),
+            limits: BTreeMap::new(),
+            cold_sends: BTreeMap::new(),
             breaches: Vec::new(),
         }
     }
 
-    /// The request was marked as a client's further try.
+    /// Whether the client marked the request as a retry.
     pub fn is_marked(&self, id: RequestId) -> bool {
-        self.past.get(&id).is_some_and(|p| p.ask.retry)
+        self.records.get(&id).is_some_and(|record| record.request.retry)
     }
 
     fn breach(&mut self, now: Micros, what: &str) {
         self.breaches.push(format!("at {now}: {what}"));
     }
 
-    fn ordered(&self, id: RequestId) -> Option<KeyId> {
-        let past = self.past.get(&id)?;
-        past.ask.key.filter(|_| self.set.classes[past.ask.class].in_order)
+    /// The key whose order the request keeps, if its class does.
+    fn ordered_key(&self, id: RequestId) -> Option<KeyId> {
+        let record = self.records.get(&id)?;
+        record.request.key.filter(|_| self.settings.classes[record.request.class].in_order)
     }
 
-    fn leave_line(&mut self, id: RequestId) {
-        let over = !self.open.contains_key(&id) && !self.out.keys().any(|o| o.0 == id);
-        if let (true, Some(key)) = (over, self.ordered(id)) {
-            self.lines.entry(key).or_default().retain(|&r| r != id);
+    /// Removes a request from the order of its key once it is answered and nothing of it is in flight.
+    fn leave_key_order(&mut self, id: RequestId) {
+        let over = !self.open.contains_key(&id) && !self.in_flight.keys().any(|o| o.0 == id);
+        if let (true, Some(key)) = (over, self.ordered_key(id)) {
+            self.key_orders.entry(key).or_default().retain(|&r| r != id);
         }
     }
 
@@ -76,47 +93,48 @@
         match event {
             Event::Nodes { whole, entries, .. } => {
                 if *whole {
-                    for (entry, told) in self.nodes.values_mut() {
+                    for (entry, changed) in self.nodes.values_mut() {
                         if !entries.iter().any(|e| e.node == entry.node) && entry.state != NodeState::Gone {
-                            (entry.state, *told) = (NodeState::Gone, now);
+                            (entry.state, *changed) = (NodeState::Gone, now);
                         }
                     }
                 }
                 for e in entries {
                     let on_before = self.nodes.get(&e.node).is_none_or(|n| n.0.state == NodeState::On);
-                    let told = if on_before { now } else { self.nodes[&e.node].1 };
-                    self.nodes.insert(e.node, (e.clone(), told));
+                    let changed = if on_before { now } else { self.nodes[&e.node].1 };
+                    self.nodes.insert(e.node, (e.clone(), changed));
                 }
             }
-            Event::Request(ask) => {
-                self.taken.push(now);
-                self.open.insert(ask.id, now + ask.patience);
-                let deadline = now + ask.patience;
-                self.past.insert(ask.id, Past { ask: ask.clone(), deadline, attempts: Vec::new() });
-                if let Some(key) = self.ordered(ask.id) {
-                    self.lines.entry(key).or_default().push_back(ask.id);
+            Event::Request(request) => {
+                self.request_times.push(now);
+                self.open.insert(request.id, now + request.patience);
+                let deadline = now + request.patience;
+                let record = Record { request: request.clone(), deadline, attempts: Vec::new() };
+                self.records.insert(request.id, record);
+                if let Some(key) = self.ordered_key(request.id) {
+                    self.key_orders.entry(key).or_default().push_back(request.id);
                 }
             }
             Event::Answer(a) => {
-                self.out.remove(&(a.request, a.attempt));
+                self.in_flight.remove(&(a.request, a.attempt));
                 if let Some(attempt) =
-                    self.past.get_mut(&a.request).and_then(|p| p.attempts.get_mut(a.attempt as usize))
+                    self.records.get_mut(&a.request).and_then(|r| r.attempts.get_mut(a.attempt as usize))
                 {
-                    attempt.3 = Some(a.outcome);
+                    attempt.outcome = Some(a.outcome);
                 }
                 if a.settled {
                     self.open.remove(&a.request);
                 }
                 if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
-                    (self.ordered(a.request), a.outcome)
+                    (self.ordered_key(a.request), a.outcome)
                 {
-                    self.rests.insert(key, now + self.set.order_rest);
+                    self.paused_until.insert(key, now + self.settings.order_rest);
                 }
-                self.leave_line(a.request);
+                self.leave_key_order(a.request);
             }
             Event::Withdrawn(id) => {
                 self.open.remove(id);
-                self.leave_line(*id);
+                self.leave_key_order(*id);
             }
             _ => {}
         }
@@ -129,21 +147,21 @@
                 if self.open.remove(request).is_none() {
                     self.breach(now, "1: a second final answer");
                 }
-                let past = &self.past[request];
-                let free = match self.set.classes[past.ask.class].repeats {
+                let record = &self.records[request];
+                let harmless = match self.settings.classes[record.request.class].repeats {
                     Repeats::Safe | Repeats::Keyed { group: Group::All, .. } => true,
-                    _ => past.attempts.iter().all(|a| never_ran(&a.3)),
+                    _ => record.attempts.iter().all(|a| never_ran(&a.outcome)),
                 };
-                if !free {
-                    self.breach(now, "2: refused what may have run");
+                if !harmless {
+                    self.breach(now, "2: refused a request that may have run");
                 }
-                self.leave_line(*request);
+                self.leave_key_order(*request);
             }
             Action::Fail { request } => {
                 if self.open.remove(request).is_none() {
                     self.breach(now, "1: a second final answer");
                 }
-                self.leave_line(*request);
+                self.leave_key_order(*request);
             }
             _ => {}
         }
@@ -151,97 +169,98 @@
 
     fn send(&mut self, now: Micros, id: RequestId, node: NodeId) {
         if !self.open.contains_key(&id) {
-            self.breach(now, "1: sent after the end");
+            self.breach(now, "1: sent after the final answer");
         }
-        let Some((entry, told)) = self.nodes.get(&node).cloned() else {
-            self.breach(now, "sent to a node never listed");
+        let Some((entry, changed)) = self.nodes.get(&node).cloned() else {
+            self.breach(now, "sent to a node that was never listed");
             return;
         };
-        let past = &self.past[&id];
-        let (ask, deadline) = (past.ask.clone(), past.deadline);
-        let class = self.set.classes[ask.class].clone();
-        let mut wrong = Vec::new();
+        let record = &self.records[&id];
+        let (request, deadline) = (record.request.clone(), record.deadline);
+        let class = self.settings.classes[request.class].clone();
+        let mut breaches = Vec::new();
         if now > deadline {
-            wrong.push("1: sent past the deadline");
+            breaches.push("1: sent past the deadline");
         }
-        if ask.shard.is_some_and(|s| s != entry.shard) {
-            wrong.push("sent to a node without the data");
+        if request.shard.is_some_and(|s| s != entry.shard) {
+            breaches.push("sent to a node without the data");
         }
-        if past.attempts.len() >= self.set.most_attempts as usize {
-            wrong.push("sent too often");
+        if record.attempts.len() >= self.settings.most_attempts as usize {
+            breaches.push("sent too often");
         }
-        if !self.set.second_copies && past.attempts.iter().any(|a| a.3.is_none()) {
-            wrong.push("2: two attempts at once");
+        if !self.settings.second_copies && record.attempts.iter().any(|a| a.outcome.is_none()) {
+            breaches.push("2: two attempts at once");
         }
-        for a in past.attempts.iter().filter(|a| !never_ran(&a.3)) {
-            let fine = match class.repeats {
+        for a in record.attempts.iter().filter(|a| !never_ran(&a.outcome)) {
+            let harmless = match class.repeats {
                 Repeats::Safe => true,
                 Repeats::Unsafe => false,
                 Repeats::Keyed { group, window } => {
-                    let same = match group {
+                    let recognised = match group {
                         Group::All => true,
-                        Group::Zone => a.0 == entry.zone,
-                        Group::Shard => a.1 == entry.shard,
+                        Group::Zone => a.zone == entry.zone,
+                        Group::Shard => a.shard == entry.shard,
                     };
-                    same && now - a.2 <= window
+                    recognised && now - a.sent <= window
                 }
             };
-            if !fine {
-                wrong.push("2: repeated what must not be");
+            if !harmless {
+                breaches.push("2: sent again a request that must not run twice");
             }
         }
-        if entry.state != NodeState::On && now > told + self.set.drain_grace {
-            wrong.push("3: sent to a draining or gone node");
+        if entry.state != NodeState::On && now > changed + self.settings.drain_grace {
+            breaches.push("3: sent to a draining or removed node");
         }
-        if let Some(started) = entry.started.filter(|s| now - s < self.set.warm_after) {
-            let log = self.colds.entry(node).or_default();
-            log.push((now, ask.units));
-            let window = self.set.cold_window;
-            let sum: f64 = log.iter().filter(|s| s.0 > now - window).map(|s| s.1).sum();
-            let age = (now - started) as f64 / self.set.warm_after as f64;
-            let growth = 1.0 + (1.0 / self.set.cold_from - 1.0) * age;
-            if sum > self.set.cold_units / f64::from(self.set.hosts) * growth + 1e-6 {
-                wrong.push("4: more than its part to a cold node");
+        if let Some(started) = entry.started.filter(|s| now - s < self.settings.warm_after) {
+            let sends = self.cold_sends.entry(node).or_default();
+            sends.push((now, request.units));
+            let window = self.settings.cold_window;
+            let sum: f64 = sends.iter().filter(|s| s.0 > now - window).map(|s| s.1).sum();
+            let age = (now - started) as f64 / self.settings.warm_after as f64;
+            let growth = 1.0 + (1.0 / self.settings.cold_from - 1.0) * age;
+            if sum > self.settings.cold_units / f64::from(self.settings.hosts) * growth + 1e-6 {
+                breaches.push("4: more than its part to a cold node");
             }
         }
-        if let Some(key) = self.ordered(id) {
-            let line = self.lines.entry(key).or_default();
-            if line.front() != Some(&id) {
-                wrong.push("5: out of turn");
+        if let Some(key) = self.ordered_key(id) {
+            let order = self.key_orders.entry(key).or_default();
+            if order.front() != Some(&id) {
+                breaches.push("5: out of order");
             }
-            if past.attempts.is_empty() && self.rests.get(&key).is_some_and(|&r| now < r) {
-                wrong.push("5: the key rests");
+            if record.attempts.is_empty() && self.paused_until.get(&key).is_some_and(|&until| now < until) {
+                breaches.push("5: the key is paused");
             }
         }
-        if let (Some(budget), false) = (self.set.budget, past.attempts.is_empty()) {
-            self.further.push(now);
-            let further = self.further.iter().filter(|&&t| t > now - budget.window).count();
-            let taken = self.taken.iter().filter(|&&t| t > now - budget.window).count();
-            if further as f64 > budget.free + budget.share * taken as f64 {
-                wrong.push("6: over the budget");
+        if let (Some(budget), false) = (self.settings.budget, record.attempts.is_empty()) {
+            self.retry_times.push(now);
+            let retries = self.retry_times.iter().filter(|&&t| t > now - budget.window).count();
+            let requests = self.request_times.iter().filter(|&&t| t > now - budget.window).count();
+            if retries as f64 > budget.free + budget.share * requests as f64 {
+                breaches.push("6: over the budget");
             }
         }
-        let plan = &self.set.plans[ask.plan];
-        if plan.limit > 0.0 && past.attempts.iter().all(|a| a.3 == Some(Outcome::NotSent)) {
-            // This host's even part of the shared store, which a former life may have emptied.
-            let part = f64::from(ask.hosts.max(1));
-            let start = (-plan.limit_slack / part, self.born);
-            let (level, at) = *self.stores.get(&ask.volume).unwrap_or(&start);
+        let plan = &self.settings.plans[request.plan];
+        if plan.limit > 0.0 && record.attempts.iter().all(|a| a.outcome == Some(Outcome::NotSent)) {
+            // This host's even part of the shared limit, which the process before it may have spent.
+            let part = f64::from(request.hosts.max(1));
+            let start = (-plan.limit_slack / part, self.started_at);
+            let (level, at) = *self.limits.get(&request.volume).unwrap_or(&start);
             let level = (level + plan.limit / part * (now - at) as f64 / 1e6).min(plan.limit_burst / part);
-            if level - ask.units < -plan.limit_slack / part - 1e-3 {
-                wrong.push("7: over its part of the limit");
+            if level - request.units < -plan.limit_slack / part - 1e-3 {
+                breaches.push("7: over its part of the limit");
             }
-            self.stores.insert(ask.volume, (level - ask.units, now));
+            self.limits.insert(request.volume, (level - request.units, now));
         }
-        for what in wrong {
+        for what in breaches {
             self.breach(now, what);
         }
-        let past = self.past.get_mut(&id).expect("known");
-        self.out.insert((id, past.attempts.len() as u32), (node, now));
-        past.attempts.push((entry.zone, entry.shard, now, None));
+        let record = self.records.get_mut(&id).expect("known");
+        self.in_flight.insert((id, record.attempts.len() as u32), (node, now));
+        let (zone, shard) = (entry.zone, entry.shard);
+        record.attempts.push(SentAttempt { zone, shard, sent: now, outcome: None });
     }
 
-    /// Notes requests that should have had their answer.
+    /// Records requests that should have had their final answer.
     pub fn overdue(&mut self, now: Micros) {
         let late: Vec<RequestId> = self.open.iter().filter(|o| *o.1 + 8_000 < now).map(|o| *o.0).collect();
         for id in late {
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Settings, a driver that records a trace, and a checker written from the rules alone.
+//! Test settings, a host that drives a scheduler and records its actions, and an independent rule checker.
 #![allow(dead_code)]
 
 pub mod checker;
-pub mod drawn;
+pub mod random_events;
 
 pub use checker::Checker;
 use decisions::*;
@@ -33,7 +33,7 @@
     }
 }
 
-/// One safe class, one plan without limit, no budget.
+/// One idempotent class, one plan without limit, no retry budget.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Repeats::Safe)],
@@ -88,14 +88,15 @@
     }
 }
 
-/// Drives a scheduler, keeps its timers, and holds every step against the rules.
+/// Drives a scheduler, runs its timers and checks every action against the rules.
 pub struct Host {
     pub scheduler: Scheduler,
     pub checker: Checker,
     pub now: Micros,
     timers: Vec<(Micros, u64)>,
+    /// All actions so far with their times.
     pub log: Vec<(Micros, Action)>,
-    /// Events given so far.
+    /// Number of events handled so far.
     pub events: u64,
 }
 
@@ -117,11 +118,11 @@
 
     pub fn with_nodes(settings: Settings, nodes: &[NodeEntry]) -> Self {
         let mut host = Host::new(settings);
-        host.nodes(true, nodes);
+        host.update_nodes(true, nodes);
         host
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.events += 1;
         self.checker.event(self.now, &event);
@@ -136,44 +137,44 @@
         actions
     }
 
-    /// Moves the clock on, with every timer that falls due on the way.
-    pub fn until(&mut self, then: Micros) {
+    /// Advances the clock and fires every timer that falls due.
+    pub fn advance_to(&mut self, then: Micros) {
         while let Some(at) = self.timers.iter().map(|t| t.0).filter(|&t| t <= then).min() {
             let index = self.timers.iter().position(|t| t.0 == at).unwrap();
             let (at, token) = self.timers.swap_remove(index);
             self.now = self.now.max(at);
-            self.give(Event::Timer(token));
+            self.handle(Event::Timer(token));
         }
         self.now = then;
         self.checker.overdue(self.now);
     }
 
-    pub fn wait(&mut self, span: Micros) {
-        self.until(self.now + span);
+    pub fn advance(&mut self, span: Micros) {
+        self.advance_to(self.now + span);
     }
 
     pub fn timers_pending(&self) -> usize {
         self.timers.len()
     }
 
-    pub fn nodes(&mut self, whole: bool, nodes: &[NodeEntry]) -> Vec<Action> {
-        self.give(Event::Nodes { whole, remembered: false, entries: nodes.to_vec() })
+    pub fn update_nodes(&mut self, whole: bool, nodes: &[NodeEntry]) -> Vec<Action> {
+        self.handle(Event::Nodes { whole, remembered: false, entries: nodes.to_vec() })
     }
 
-    pub fn allow(&mut self, shard: u32, further: u32, come_back: Micros) -> Vec<Action> {
-        self.give(Event::Allowance { shard: ShardId(shard), further, come_back })
+    pub fn set_retry_tokens(&mut self, shard: u32, further: u32, come_back: Micros) -> Vec<Action> {
+        self.handle(Event::Allowance { shard: ShardId(shard), further, come_back })
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.give(Event::Request(request))
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Request(request))
     }
 
     pub fn answer(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let Some(&(node, sent)) = self.checker.out.get(&(RequestId(id), attempt)) else {
-            panic!("attempt {attempt} of {id} is not out");
+        let Some(&(node, sent)) = self.checker.in_flight.get(&(RequestId(id), attempt)) else {
+            panic!("attempt {attempt} of request {id} is not in flight");
         };
         let settled = outcome == Outcome::Served || !self.checker.open.contains_key(&RequestId(id));
-        self.give(Event::Answer(Answer {
+        self.handle(Event::Answer(Answer {
             request: RequestId(id),
             attempt,
             node,
@@ -185,7 +186,7 @@
         }))
     }
 
-    /// Requests sent so far, in order.
+    /// Ids of the requests sent so far, in order, once for each attempt.
     pub fn sent(&self) -> Vec<u64> {
         let sends = self.log.iter().filter_map(|(_, a)| match a {
             Action::Send { request, .. } => Some(request.0),
@@ -194,10 +195,11 @@
         sends.collect()
     }
 
-    pub fn sends(actions: &[Action]) -> usize {
+    pub fn count_sends(actions: &[Action]) -> usize {
         actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
     }
 
+    /// The advice of the refusal of a request, if it was refused.
     pub fn refused(&self, id: u64) -> Option<Micros> {
         self.log.iter().find_map(|(_, a)| match a {
             Action::Refuse { request, come_back } if request.0 == id => Some(*come_back),
--- a/crates/decisions/tests/list_change.rs
+++ b/crates/decisions/tests/list_change.rs
@@ -1,4 +1,4 @@
-//! What one change of the list costs: the change and what waits, not the list.
+//! The cost of a node list change grows with the change and the waiting requests, not with the list.
 
 mod common;
 use common::*;
@@ -9,11 +9,12 @@
 
 const SIZES: [u32; 4] = [30, 300, 2100, 21_000];
 
-fn line(node: u32, state: NodeState) -> NodeEntry {
+fn node_entry(node: u32, state: NodeState) -> NodeEntry {
     NodeEntry { node: NodeId(node), zone: node % 3, shard: ShardId(node / 3), state, started: None }
 }
 
-fn listed(scheduler: &mut Scheduler, now: i64, whole: bool, entries: Vec<NodeEntry>) -> (u64, u64) {
+/// Counters of the work that a node list event causes.
+fn work_of_update(scheduler: &mut Scheduler, now: i64, whole: bool, entries: Vec<NodeEntry>) -> (u64, u64) {
     let before = scheduler.work();
     scheduler.handle(now, Event::Nodes { whole, remembered: false, entries }, &mut Vec::new());
     let after = scheduler.work();
@@ -22,24 +23,24 @@
 
 #[test]
 fn a_change_costs_the_same_however_long_the_list_is() {
-    let (_, set) = drawn::shapes().remove(0);
+    let (_, host_settings) = random_events::variants().remove(0);
     for nodes in SIZES {
-        let mut scheduler = Scheduler::new(set.clone(), 1);
-        let all = (0..nodes).map(|n| line(n, NodeState::On)).collect();
-        listed(&mut scheduler, 1_000, true, all);
-        let drains = listed(&mut scheduler, 2_000, false, vec![line(7, NodeState::Draining)]);
-        let back = listed(&mut scheduler, 3_000, false, vec![line(7, NodeState::On)]);
-        // Nothing waits, so that no shard has anything to send.
+        let mut scheduler = Scheduler::new(host_settings.clone(), 1);
+        let all = (0..nodes).map(|n| node_entry(n, NodeState::On)).collect();
+        work_of_update(&mut scheduler, 1_000, true, all);
+        let drains = work_of_update(&mut scheduler, 2_000, false, vec![node_entry(7, NodeState::Draining)]);
+        let back = work_of_update(&mut scheduler, 3_000, false, vec![node_entry(7, NodeState::On)]);
+        // No request waits, so that no shard is examined.
         assert_eq!((drains, back), ((0, 1), (0, 1)), "{nodes} nodes");
     }
 }
 
 #[test]
-fn what_waits_for_a_node_goes_out_when_another_is_listed() {
-    let (_, set) = drawn::shapes().remove(0);
-    let mut scheduler = Scheduler::new(set, 1);
-    let all = (0..300).map(|n| line(n, NodeState::Draining)).collect();
-    listed(&mut scheduler, 1_000, true, all);
+fn a_request_that_waits_for_a_node_is_sent_when_one_is_listed() {
+    let (_, host_settings) = random_events::variants().remove(0);
+    let mut scheduler = Scheduler::new(host_settings, 1);
+    let all = (0..300).map(|n| node_entry(n, NodeState::Draining)).collect();
+    work_of_update(&mut scheduler, 1_000, true, all);
     let request = Request {
         id: RequestId(1),
         class: 0,
@@ -54,12 +55,12 @@
         client: None,
     };
     let mut actions = Vec::new();
-    // A minute later, when limits that begin empty have filled.
+    // A minute later, as the limits begin empty and have refilled by then.
     scheduler.handle(60_000_000, Event::Request(request), &mut actions);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 0);
     scheduler.handle(
         60_010_000,
-        Event::Nodes { whole: false, remembered: false, entries: vec![line(8, NodeState::On)] },
+        Event::Nodes { whole: false, remembered: false, entries: vec![node_entry(8, NodeState::On)] },
         &mut actions,
     );
     let sent = actions.iter().find_map(|a| match a {
--- a/crates/decisions/tests/repeats.rs
+++ b/crates/decisions/tests/repeats.rs
@@ -1,4 +1,5 @@
-//! Repeats of requests that ended unserved: what is taken over from the earlier try, and what is not.
+//! Client retries of requests that ended unserved: what they take over from the earlier try, and what they do
+//! not.
 
 mod common;
 use std::collections::BTreeMap;
@@ -6,180 +7,184 @@
 use common::*;
 use decisions::*;
 
-/// Time that a node takes for a request.
+/// Service time of a request.
 const SERVICE: Micros = 1_000;
 
-/// The first try of a request whose client leaves it: its repeats take over the end of its aim.
-fn left_by_its_client(h: &mut Host) {
-    h.ask(request(0));
-    h.give(Event::Withdrawn(RequestId(0)));
-    h.answer(0, 0, Outcome::Cancelled);
+/// Sends the first try of a request, which its client withdraws: its retries take over its due time.
+fn withdraw_first_try(host: &mut Host) {
+    host.submit(request(0));
+    host.handle(Event::Withdrawn(RequestId(0)));
+    host.answer(0, 0, Outcome::Cancelled);
 }
 
-/// A marked repeat of that first try.
-fn repeat(id: u64) -> Request {
+/// A marked retry of that first try.
+fn retry(id: u64) -> Request {
     Request { key: request(0).key, retry: true, ..request(id) }
 }
 
-/// Lets a node answer whatever is out on it, after its time.
-fn serve_all(h: &mut Host) {
-    h.wait(SERVICE);
-    while let Some(&(id, attempt)) = h.checker.out.keys().next() {
-        h.answer(id.0, attempt, Outcome::Served);
+/// Lets a node answer all its attempts after the service time.
+fn serve_all(host: &mut Host) {
+    host.advance(SERVICE);
+    while let Some(&(id, attempt)) = host.checker.in_flight.keys().next() {
+        host.answer(id.0, attempt, Outcome::Served);
     }
 }
 
-/// How many of `count` repeats, one every `pause`, an idle node was sent.
+/// How many of `count` retries, one every `pause`, are sent to an idle node.
 fn served_of(count: u64, pause: Micros) -> usize {
-    let mut h = Host::with_nodes(settings(), &[entry(0, 0)]);
-    left_by_its_client(&mut h);
+    let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
+    withdraw_first_try(&mut host);
     for id in 1..=count {
-        h.wait(pause);
-        h.ask(repeat(id));
-        serve_all(&mut h);
+        host.advance(pause);
+        host.submit(retry(id));
+        serve_all(&mut host);
     }
-    h.checker.assert_clean();
-    h.sent().len() - 1
+    host.checker.assert_clean();
+    host.sent().len() - 1
 }
 
-/// Guards against a repeat that is refused for ever on an idle node because the aim of its first try is over.
+/// Guards against retries that an idle node never serves because the latency target of the first try is over.
 #[test]
-fn an_idle_node_serves_every_repeat_whenever_it_comes() {
+fn an_idle_node_serves_every_retry_whenever_it_comes() {
     for (pause, count) in [(60_000, 200), (SECOND, 20), (4 * SECOND, 20), (11 * SECOND, 5)] {
-        assert_eq!(served_of(count, pause), count as usize, "one repeat every {pause} us");
+        assert_eq!(served_of(count, pause), count as usize, "one retry every {pause} us");
     }
 }
 
-/// Fills the node's fresh bound with requests that it never answers, and lets one more wait until its aim is over.
-fn node_that_does_not_keep_up() -> Host {
-    let mut h = Host::with_nodes(settings(), &[entry(0, 0)]);
+/// A node whose initial bound is filled with requests that it never answers, and one more that waits until
+/// its latency target is over.
+fn overloaded_node() -> Host {
+    let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
     for id in 100..105 {
-        h.ask(request(id));
+        host.submit(request(id));
     }
-    h.wait(210_000);
-    h
+    host.advance(210_000);
+    host
 }
 
-/// Guards against repeats whose refusals keep their own cause alive: what the first try left behind ends in time.
+/// Guards against retries whose refusals renew the record that causes them: the record of the first try
+/// expires.
 #[test]
-fn a_refused_repeat_does_not_renew_what_it_took_over() {
-    let mut h = node_that_does_not_keep_up();
-    assert!(h.refused(104).is_some(), "it waited until its aim was over");
+fn a_refused_retry_does_not_renew_the_record_of_the_first_try() {
+    let mut host = overloaded_node();
+    assert!(host.refused(104).is_some(), "it waited until its latency target was over");
     let again = |id: u64| Request { key: request(104).key, retry: true, ..request(id) };
     let refused_at_once: Vec<bool> = (1000..1024)
         .map(|id| {
-            h.wait(250_000);
-            h.ask(again(id));
-            h.refused(id).is_some()
+            host.advance(250_000);
+            host.submit(again(id));
+            host.refused(id).is_some()
         })
         .collect();
-    assert!(refused_at_once[..16].iter().all(|at_once| *at_once), "the node does not keep up");
+    assert!(refused_at_once[..16].iter().all(|at_once| *at_once), "the node is overloaded");
     assert!(
         refused_at_once[16..].contains(&false),
-        "six seconds after the first try its repeats have no aim yet"
+        "six seconds after the first try its retries still have no latency target of their own"
     );
 }
 
-/// Guards against one client's refusal that makes the requests of all others for the same block late.
+/// Guards against the refusal of one client's request making other clients' requests for the same block late.
 #[test]
-fn a_like_request_of_another_client_is_no_repeat() {
-    for retry in [false, true] {
-        let mut h = node_that_does_not_keep_up();
-        assert!(h.refused(104).is_some());
-        h.wait(10_000);
+fn the_same_request_of_another_client_is_no_retry() {
+    for marked in [false, true] {
+        let mut host = overloaded_node();
+        assert!(host.refused(104).is_some());
+        host.advance(10_000);
         let of = |id: u64, client: u64| Request {
             key: request(104).key,
             client: Some(ClientId(client)),
-            retry,
+            retry: marked,
             ..request(id)
         };
-        // The refused one named no client; one that names its own is refused, and then another's comes.
-        h.ask(of(200, 1));
-        h.wait(210_000);
-        assert!(h.refused(200).is_some());
-        h.wait(10_000);
-        h.ask(of(201, 2));
-        assert!(h.refused(201).is_none(), "another client's, marked {retry}");
-        h.ask(of(202, 1));
-        assert!(h.refused(202).is_some(), "the same client's, marked {retry}");
+        // The refused request has no client id. Client 1 is refused as well, and then client 2 comes.
+        host.submit(of(200, 1));
+        host.advance(210_000);
+        assert!(host.refused(200).is_some());
+        host.advance(10_000);
+        host.submit(of(201, 2));
+        assert!(host.refused(201).is_none(), "another client's, marked {marked}");
+        host.submit(of(202, 1));
+        assert!(host.refused(202).is_some(), "the same client's, marked {marked}");
     }
 }
 
-/// A node that serves one request at a time, in turn of arrival.
+/// A node that serves one request at a time, in order of arrival.
 struct BusyNode {
-    h: Host,
+    host: Host,
     busy_until: Micros,
     next: u64,
 }
 
 impl BusyNode {
-    /// Time that the node takes for each.
-    const EACH: Micros = 2_000;
+    /// Service time of a request.
+    const SERVICE: Micros = 2_000;
 
     fn step(&mut self) {
-        let oldest = self.h.checker.out.iter().min_by_key(|(_, (_, sent))| *sent);
-        if self.h.now >= self.busy_until
+        let oldest = self.host.checker.in_flight.iter().min_by_key(|(_, (_, sent))| *sent);
+        if self.host.now >= self.busy_until
             && let Some((&(id, attempt), _)) = oldest
         {
-            self.h.answer(id.0, attempt, Outcome::Served);
-            self.busy_until = self.h.now + Self::EACH;
+            self.host.answer(id.0, attempt, Outcome::Served);
+            self.busy_until = self.host.now + Self::SERVICE;
         }
-        self.h.wait(Self::EACH / 2);
+        self.host.advance(Self::SERVICE / 2);
     }
 }
 
-/// Guards against late work that crowds out what is in time: two thousand clients come back at once, and again when told.
+/// Guards against late work that displaces requests in time: two thousand clients retry at once, and again
+/// when advised.
 #[test]
-fn two_thousand_late_repeats_leave_the_node_to_those_in_time() {
+fn two_thousand_late_retries_leave_the_node_to_requests_in_time() {
     const CLIENTS: u64 = 2_000;
-    let mut set = settings();
-    set.plans[0].reserve = 1e6;
-    let mut node = BusyNode { h: Host::with_nodes(set, &[entry(0, 0)]), busy_until: 0, next: 1_000_000 };
-    // All tries come while the node is away, and their clients leave them.
+    let mut host_settings = settings();
+    host_settings.plans[0].reserve = 1e6;
+    let mut node =
+        BusyNode { host: Host::with_nodes(host_settings, &[entry(0, 0)]), busy_until: 0, next: 1_000_000 };
+    // All first tries come while the node does not answer, and their clients withdraw them.
     for id in 0..CLIENTS {
-        node.h.ask(request(id));
+        node.host.submit(request(id));
     }
-    node.h.wait(100_000);
+    node.host.advance(100_000);
     for id in 0..CLIENTS {
-        node.h.give(Event::Withdrawn(RequestId(id)));
+        node.host.handle(Event::Withdrawn(RequestId(id)));
     }
-    for (id, attempt) in node.h.checker.out.keys().copied().collect::<Vec<_>>() {
-        node.h.answer(id.0, attempt, Outcome::Cancelled);
+    for (id, attempt) in node.host.checker.in_flight.keys().copied().collect::<Vec<_>>() {
+        node.host.answer(id.0, attempt, Outcome::Cancelled);
     }
-    let mut again: Vec<(Micros, u64)> = (0..CLIENTS).map(|key| (node.h.now + 2 * SECOND, key)).collect();
+    let mut pending: Vec<(Micros, u64)> = (0..CLIENTS).map(|key| (node.host.now + 2 * SECOND, key)).collect();
     let mut in_time = Vec::new();
-    let (mut tries, mut seen) = (BTreeMap::new(), node.h.log.len());
-    let began = node.h.now;
+    let (mut tries, mut seen) = (BTreeMap::new(), node.host.log.len());
+    let began = node.host.now;
     for tick in 0..8_000_u64 {
-        let now = node.h.now;
-        let (back, rest): (Vec<_>, Vec<_>) = again.into_iter().partition(|(at, _)| *at <= now);
-        again = rest;
+        let now = node.host.now;
+        let (back, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(|(at, _)| *at <= now);
+        pending = rest;
         for (_, key) in back {
             let id = node.next;
             node.next += 1;
-            node.h.ask(Request { key: Some(KeyId(key)), retry: true, ..request(id) });
+            node.host.submit(Request { key: Some(KeyId(key)), retry: true, ..request(id) });
             tries.insert(id, key);
         }
-        for (_, action) in &node.h.log[seen..] {
+        for (_, action) in &node.host.log[seen..] {
             if let Action::Refuse { request, come_back } = action
                 && let Some(key) = tries.remove(&request.0)
             {
-                again.push((now + come_back, key));
+                pending.push((now + come_back, key));
             }
         }
-        seen = node.h.log.len();
-        // One in time every 5 ms, which is two fifths of what the node can do.
+        seen = node.host.log.len();
+        // One request in time every 5 ms, which is two fifths of what the node can serve.
         if tick % 5 == 0 && now > began + 2 * SECOND {
-            node.h.ask(request(node.next));
+            node.host.submit(request(node.next));
             in_time.push(node.next);
             node.next += 1;
         }
         node.step();
     }
-    let served = node.h.sent().iter().filter(|id| tries.contains_key(*id)).count();
-    assert!(served as u64 > CLIENTS / 4, "{served} of {CLIENTS} late ones were sent");
-    let turned_away = in_time.iter().filter(|id| node.h.refused(**id).is_some()).count();
+    let served = node.host.sent().iter().filter(|id| tries.contains_key(*id)).count();
+    assert!(served as u64 > CLIENTS / 4, "{served} of {CLIENTS} late retries were sent");
+    let refused = in_time.iter().filter(|id| node.host.refused(**id).is_some()).count();
     assert!(in_time.len() > 900, "{} in time", in_time.len());
-    assert_eq!(turned_away, 0, "of {} in time were turned away", in_time.len());
-    node.h.checker.assert_clean();
+    assert_eq!(refused, 0, "of {} in time were refused", in_time.len());
+    node.host.checker.assert_clean();
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule's guard, on short scripts.
+//! A short scenario for each rule that sends must keep.
 
 mod common;
 use common::*;
@@ -10,228 +10,228 @@
 
 #[test]
 fn a_waiting_request_is_answered_by_its_deadline() {
-    let mut h = Host::new(settings());
-    h.ask(request(1));
-    h.wait(2 * SECOND);
-    assert!(h.refused(1).is_some());
-    h.checker.assert_clean();
+    let mut host = Host::new(settings());
+    host.submit(request(1));
+    host.advance(2 * SECOND);
+    assert!(host.refused(1).is_some());
+    host.checker.assert_clean();
 }
 
 #[test]
-fn zero_and_negative_patience_are_answered_at_once() {
-    let mut h = Host::with_nodes(settings(), &[entry(0, 0)]);
+fn requests_without_remaining_time_are_answered_at_once() {
+    let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
     for (id, patience) in [(1, 0), (2, -5)] {
         let mut r = request(id);
         r.patience = patience;
-        h.ask(r);
-        assert!(h.refused(id).is_some());
+        host.submit(r);
+        assert!(host.refused(id).is_some());
     }
-    assert!(h.sent().is_empty());
+    assert!(host.sent().is_empty());
 }
 
 #[test]
 fn a_refusal_carries_advice_only_where_allowed() {
     for advice in [true, false] {
-        let mut set = settings();
-        set.advice = advice;
-        let mut h = Host::new(set);
-        h.ask(request(1));
-        h.wait(2 * SECOND);
-        assert_eq!(h.refused(1).is_some_and(|t| t > 0), advice);
+        let mut host_settings = settings();
+        host_settings.advice = advice;
+        let mut host = Host::new(host_settings);
+        host.submit(request(1));
+        host.advance(2 * SECOND);
+        assert_eq!(host.refused(1).is_some_and(|t| t > 0), advice);
     }
 }
 
 #[test]
-fn an_unsafe_request_is_never_repeated_after_an_error_but_is_after_full() {
-    let mut set = settings();
-    set.classes = vec![class(Repeats::Unsafe)];
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
-    h.ask(request(1));
-    h.answer(1, 0, Outcome::Error);
-    assert!(h.failed(1));
-    h.ask(request(2));
-    h.answer(2, 0, Outcome::Full);
-    h.wait(100_000);
-    assert_eq!(h.sent(), [1, 2, 2]);
-    h.checker.assert_clean();
+fn an_unsafe_request_is_retried_after_full_but_never_after_an_error() {
+    let mut host_settings = settings();
+    host_settings.classes = vec![class(Repeats::Unsafe)];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
+    host.submit(request(1));
+    host.answer(1, 0, Outcome::Error);
+    assert!(host.failed(1));
+    host.submit(request(2));
+    host.answer(2, 0, Outcome::Full);
+    host.advance(100_000);
+    assert_eq!(host.sent(), [1, 2, 2]);
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_shard_and_window() {
-    let mut set = settings();
-    set.classes = vec![class(keyed(Group::Shard))];
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
-    h.ask(request(1));
-    h.wait(100_000);
-    h.answer(1, 0, Outcome::Error);
-    assert_eq!(h.sent(), [1, 1], "within the window");
-    h.wait(450_000);
-    h.answer(1, 1, Outcome::Error);
-    assert_eq!(h.sent(), [1, 1], "past the window");
-    assert!(h.failed(1));
-    h.checker.assert_clean();
+fn a_keyed_request_is_retried_within_its_shard_and_window_only() {
+    let mut host_settings = settings();
+    host_settings.classes = vec![class(keyed(Group::Shard))];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
+    host.submit(request(1));
+    host.advance(100_000);
+    host.answer(1, 0, Outcome::Error);
+    assert_eq!(host.sent(), [1, 1], "within the window");
+    host.advance(450_000);
+    host.answer(1, 1, Outcome::Error);
+    assert_eq!(host.sent(), [1, 1], "past the window");
+    assert!(host.failed(1));
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_keyed_new_object_does_not_leave_the_group_once_it_may_have_run() {
-    let mut set = settings();
-    set.classes = vec![class(keyed(Group::Shard))];
-    let mut h = Host::with_nodes(set, &[entry(0, 0), entry(1, 1)]);
+fn a_keyed_new_object_stays_in_its_group_once_it_may_have_run() {
+    let mut host_settings = settings();
+    host_settings.classes = vec![class(keyed(Group::Shard))];
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0), entry(1, 1)]);
     let mut r = request(1);
     r.shard = None;
-    h.ask(r);
-    let (node, _) = h.checker.out[&(RequestId(1), 0)];
-    h.nodes(true, &[entry(1 - node.0, 1 - node.0)]);
-    h.answer(1, 0, Outcome::Reset);
-    h.wait(2 * SECOND);
-    assert_eq!(h.sent(), [1]);
-    h.checker.assert_clean();
+    host.submit(r);
+    let (node, _) = host.checker.in_flight[&(RequestId(1), 0)];
+    host.update_nodes(true, &[entry(1 - node.0, 1 - node.0)]);
+    host.answer(1, 0, Outcome::Reset);
+    host.advance(2 * SECOND);
+    assert_eq!(host.sent(), [1]);
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_draining_or_unlisted_node_gets_nothing_and_its_replacement_does() {
-    let mut h = Host::with_nodes(settings(), &[entry(0, 0)]);
+fn a_draining_or_removed_node_gets_nothing_and_its_replacement_does() {
+    let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
     let mut draining = entry(0, 0);
     draining.state = NodeState::Draining;
-    h.nodes(false, &[draining]);
-    h.ask(request(1));
-    assert!(h.sent().is_empty());
-    h.nodes(false, &[entry(5, 0)]);
-    assert_eq!(h.sent(), [1]);
-    h.nodes(true, &[]);
-    h.ask(request(2));
-    h.wait(2 * SECOND);
-    assert_eq!(h.sent(), [1]);
-    assert!(h.refused(2).is_some());
-    h.checker.assert_clean();
+    host.update_nodes(false, &[draining]);
+    host.submit(request(1));
+    assert!(host.sent().is_empty());
+    host.update_nodes(false, &[entry(5, 0)]);
+    assert_eq!(host.sent(), [1]);
+    host.update_nodes(true, &[]);
+    host.submit(request(2));
+    host.advance(2 * SECOND);
+    assert_eq!(host.sent(), [1]);
+    assert!(host.refused(2).is_some());
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_failed_list_call_leaves_the_list_and_is_repeated() {
-    let mut set = settings();
-    set.must_ask = true;
-    let mut h = Host::new(set);
-    let first = h.nodes(true, &[entry(0, 0)]);
+fn a_failed_node_list_request_keeps_the_list_and_is_retried() {
+    let mut host_settings = settings();
+    host_settings.must_ask = true;
+    let mut host = Host::new(host_settings);
+    let first = host.update_nodes(true, &[entry(0, 0)]);
     assert!(first.contains(&Action::Subscribe));
-    h.give(Event::NodesFailed);
-    let mark = h.log.len();
-    h.ask(request(1));
-    assert_eq!(h.sent(), [1]);
-    h.wait(3 * SECOND);
-    assert!(h.log[mark..].iter().any(|(_, a)| *a == Action::Subscribe));
+    host.handle(Event::NodesFailed);
+    let before = host.log.len();
+    host.submit(request(1));
+    assert_eq!(host.sent(), [1]);
+    host.advance(3 * SECOND);
+    assert!(host.log[before..].iter().any(|(_, a)| *a == Action::Subscribe));
 }
 
 #[test]
 fn a_cold_node_gets_no_more_than_an_even_part() {
-    let mut h = Host::new(settings());
-    h.wait(5 * SECOND);
+    let mut host = Host::new(settings());
+    host.advance(5 * SECOND);
     let mut cold = entry(0, 0);
-    cold.started = Some(h.now);
-    h.nodes(true, &[cold]);
+    cold.started = Some(host.now);
+    host.update_nodes(true, &[cold]);
     for id in 0..200 {
-        h.ask(request(id));
-        if let Some(&(sent, attempt)) = h.checker.out.keys().next() {
-            h.answer(sent.0, attempt, Outcome::Served);
+        host.submit(request(id));
+        if let Some(&(sent, attempt)) = host.checker.in_flight.keys().next() {
+            host.answer(sent.0, attempt, Outcome::Served);
         }
-        h.wait(10_000);
+        host.advance(10_000);
     }
-    let sent = h.sent().len();
-    assert!((8..=11).contains(&sent), "{sent} sent in two seconds, the part is ten");
-    h.checker.assert_clean();
+    let sent = host.sent().len();
+    assert!((8..=11).contains(&sent), "{sent} sent in two seconds, this host's part is ten");
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_host_that_just_started_leaves_a_cold_node_alone_for_a_window() {
-    let mut set = settings();
-    set.classes[0].aim = 4 * SECOND;
-    let mut h = Host::at(set, 50 * SECOND);
+fn a_host_that_just_started_sends_nothing_to_a_cold_node_for_a_window() {
+    let mut host_settings = settings();
+    host_settings.classes[0].aim = 4 * SECOND;
+    let mut host = Host::at(host_settings, 50 * SECOND);
     let mut cold = entry(0, 0);
     cold.started = Some(49 * SECOND);
-    h.nodes(true, &[cold]);
+    host.update_nodes(true, &[cold]);
     let mut r = request(1);
     r.patience = 5 * SECOND;
-    h.ask(r);
-    h.wait(SECOND);
-    assert!(h.sent().is_empty());
-    h.wait(2 * SECOND);
-    assert_eq!(h.sent(), [1]);
+    host.submit(r);
+    host.advance(SECOND);
+    assert!(host.sent().is_empty());
+    host.advance(2 * SECOND);
+    assert_eq!(host.sent(), [1]);
 }
 
 #[test]
-fn requests_of_one_key_run_in_turn_and_the_key_rests_after_a_time_out() {
-    let mut set = settings();
-    set.classes[0].in_order = true;
-    set.classes[0].aim = 5 * SECOND;
-    set.most_attempts = 1;
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
+fn requests_of_one_key_run_in_order_and_the_key_pauses_after_a_reset() {
+    let mut host_settings = settings();
+    host_settings.classes[0].in_order = true;
+    host_settings.classes[0].aim = 5 * SECOND;
+    host_settings.most_attempts = 1;
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 1..4 {
         let mut r = request(id);
         r.key = Some(KeyId(9));
         r.patience = 10 * SECOND;
-        h.ask(r);
+        host.submit(r);
     }
-    assert_eq!(h.sent(), [1]);
-    h.answer(1, 0, Outcome::Served);
-    assert_eq!(h.sent(), [1, 2]);
-    h.answer(2, 0, Outcome::Reset);
-    h.wait(190_000);
-    assert_eq!(h.sent(), [1, 2]);
-    h.wait(400_000);
-    assert_eq!(h.sent(), [1, 2, 3]);
-    h.checker.assert_clean();
+    assert_eq!(host.sent(), [1]);
+    host.answer(1, 0, Outcome::Served);
+    assert_eq!(host.sent(), [1, 2]);
+    host.answer(2, 0, Outcome::Reset);
+    host.advance(190_000);
+    assert_eq!(host.sent(), [1, 2]);
+    host.advance(400_000);
+    assert_eq!(host.sent(), [1, 2, 3]);
+    host.checker.assert_clean();
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
-    let mut set = settings();
-    set.budget = Some(RetryBudget { window: 5 * SECOND, free: 2.0, share: 0.0 });
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
+fn retries_stay_within_the_budget() {
+    let mut host_settings = settings();
+    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 2.0, share: 0.0 });
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 0..5 {
-        h.ask(request(id));
-        h.answer(id, 0, Outcome::Error);
-        if h.checker.out.contains_key(&(RequestId(id), 1)) {
-            h.answer(id, 1, Outcome::Served);
+        host.submit(request(id));
+        host.answer(id, 0, Outcome::Error);
+        if host.checker.in_flight.contains_key(&(RequestId(id), 1)) {
+            host.answer(id, 1, Outcome::Served);
         }
     }
-    assert_eq!(h.sent().len(), 5 + 2);
-    assert!(h.refused(4).is_some(), "answered at once, not held");
-    h.checker.assert_clean();
+    assert_eq!(host.sent().len(), 5 + 2);
+    assert!(host.refused(4).is_some(), "refused at once, not kept waiting");
+    host.checker.assert_clean();
 }
 
 #[test]
-fn a_limit_is_kept_to_the_even_part_and_starts_empty() {
-    let mut set = settings();
-    set.plans[0].limit = 30.0;
-    set.plans[0].limit_burst = 48.0;
-    set.plans[0].limit_slack = 6.0;
-    let mut h = Host::with_nodes(set, &[entry(0, 0)]);
+fn a_limit_is_divided_evenly_and_starts_empty() {
+    let mut host_settings = settings();
+    host_settings.plans[0].limit = 30.0;
+    host_settings.plans[0].limit_burst = 48.0;
+    host_settings.plans[0].limit_slack = 6.0;
+    let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     let mut id = 0;
-    let mut step = |h: &mut Host, count: usize| {
+    let mut submit = |host: &mut Host, count: usize| {
         for _ in 0..count {
             let mut r = request(id);
             (r.hosts, r.units) = (3, 2.0);
             id += 1;
-            h.ask(r);
-            while let Some(&(sent, attempt)) = h.checker.out.keys().next() {
-                h.answer(sent.0, attempt, Outcome::Served);
+            host.submit(r);
+            while let Some(&(sent, attempt)) = host.checker.in_flight.keys().next() {
+                host.answer(sent.0, attempt, Outcome::Served);
             }
         }
-        h.sent().len()
+        host.sent().len()
     };
-    assert_eq!(step(&mut h, 3), 0, "a former life may have spent it all");
-    h.wait(10 * SECOND);
-    let before = h.sent().len();
-    // A full part of 16 and a slack of 2 is nine requests of two units.
-    assert_eq!(step(&mut h, 20) - before, 9);
-    h.checker.assert_clean();
+    assert_eq!(submit(&mut host, 3), 0, "the process before may have spent all of it");
+    host.advance(10 * SECOND);
+    let before = host.sent().len();
+    // A full part of 16 units and a slack of 2 allow nine requests of two units.
+    assert_eq!(submit(&mut host, 20) - before, 9);
+    host.checker.assert_clean();
 }
 
 #[test]
-fn unknown_requests_classes_plans_and_nodes_do_no_harm() {
-    let mut h = Host::with_nodes(settings(), &[entry(0, 0)]);
-    h.give(Event::Withdrawn(RequestId(77)));
-    h.give(Event::Timer(99));
-    h.give(Event::Answer(Answer {
+fn unknown_requests_classes_plans_and_nodes_are_ignored_or_refused() {
+    let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
+    host.handle(Event::Withdrawn(RequestId(77)));
+    host.handle(Event::Timer(99));
+    host.handle(Event::Answer(Answer {
         request: RequestId(5),
         attempt: 3,
         node: NodeId(42),
@@ -244,6 +244,6 @@
     let mut r = request(1);
     r.class = 9;
     let mut actions = Vec::new();
-    h.scheduler.handle(1, Event::Request(r), &mut actions);
+    host.scheduler.handle(1, Event::Request(r), &mut actions);
     assert!(matches!(actions[0], Action::Refuse { .. }));
 }
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -1,4 +1,5 @@
-//! A send that waits for its connection: whether it still stands when it can be begun, and what follows if not.
+//! An attempt that awaits its connection: whether it is still valid when it can begin, and what follows if
+//! not.
 
 mod common;
 
@@ -9,7 +10,7 @@
     NodeEntry { node: NodeId(0), zone: 0, shard: ShardId(0), state, started }
 }
 
-fn ask(id: u64, patience: Micros) -> Request {
+fn request_for(id: u64, patience: Micros) -> Request {
     Request {
         id: RequestId(id),
         class: 0,
@@ -25,7 +26,7 @@
     }
 }
 
-fn end(attempt: u32, outcome: Outcome) -> Event {
+fn ended(attempt: u32, outcome: Outcome) -> Event {
     Event::Answer(Answer {
         request: RequestId(1),
         attempt,
@@ -39,24 +40,24 @@
 }
 
 struct Host {
-    module: Scheduler,
+    scheduler: Scheduler,
     now: Micros,
     timers: Vec<(Micros, u64)>,
 }
 
 impl Host {
-    /// A host of one node that has taken a request and sent its first attempt at time 10 s.
-    fn sent(set: Settings) -> Host {
-        let mut host = Host { module: Scheduler::new(set, 1), now: 10 * SECOND, timers: Vec::new() };
+    /// A host with one node that has sent the first attempt of a request at time 10 s.
+    fn with_attempt(settings: Settings) -> Host {
+        let mut host = Host { scheduler: Scheduler::new(settings, 1), now: 10 * SECOND, timers: Vec::new() };
         host.list(NodeState::On, None);
-        let actions = host.event(Event::Request(ask(1, SECOND)));
-        assert!(sends(&actions) == 1, "{actions:?}");
+        let actions = host.handle(Event::Request(request_for(1, SECOND)));
+        assert!(count_sends(&actions) == 1, "{actions:?}");
         host
     }
 
-    fn event(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.module.handle(self.now, event, &mut actions);
+        self.scheduler.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::SetTimer { after, token } = action {
                 self.timers.push((self.now + after, *token));
@@ -67,91 +68,94 @@
 
     fn list(&mut self, state: NodeState, started: Option<Micros>) -> Vec<Action> {
         let entries = vec![entry(state, started)];
-        self.event(Event::Nodes { whole: true, remembered: false, entries })
+        self.handle(Event::Nodes { whole: true, remembered: false, entries })
     }
 
-    fn stands(&self, attempt: u32) -> bool {
-        self.module.stands(self.now, RequestId(1), attempt, NodeId(0))
+    fn is_valid(&self, attempt: u32) -> bool {
+        self.scheduler.stands(self.now, RequestId(1), attempt, NodeId(0))
     }
 }
 
-fn sends(actions: &[Action]) -> usize {
+fn count_sends(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-fn over(actions: &[Action]) -> bool {
+fn is_answered(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
 }
 
 #[test]
-fn it_stands_until_its_clients_time_is_over() {
-    let mut host = Host::sent(settings());
-    assert!(host.stands(0));
+fn an_attempt_is_valid_until_its_clients_time_is_over() {
+    let mut host = Host::with_attempt(settings());
+    assert!(host.is_valid(0));
     host.now += SECOND - 1;
-    assert!(host.stands(0));
+    assert!(host.is_valid(0));
     host.now += 1;
-    assert!(!host.stands(0));
+    assert!(!host.is_valid(0));
 }
 
 #[test]
-fn it_falls_when_its_client_goes_or_its_request_is_unknown() {
-    let mut host = Host::sent(settings());
-    assert!(!host.stands(1), "no such attempt");
-    host.event(Event::Withdrawn(RequestId(1)));
-    assert!(!host.stands(0));
+fn an_attempt_is_invalid_when_its_request_is_withdrawn_or_unknown() {
+    let mut host = Host::with_attempt(settings());
+    assert!(!host.is_valid(1), "no such attempt");
+    host.handle(Event::Withdrawn(RequestId(1)));
+    assert!(!host.is_valid(0));
 }
 
 #[test]
-fn it_falls_when_its_node_drains_or_is_another_process_and_is_decided_anew() {
-    // What never went out takes nothing from the budget for further attempts.
+fn an_attempt_is_invalid_when_its_node_drains_or_restarts_and_is_sent_again() {
+    // An attempt that was never sent uses nothing of the retry budget.
     let budget = Some(RetryBudget { window: 5 * SECOND, free: 0.0, share: 0.0 });
-    let mut host = Host::sent(Settings { budget, ..settings() });
+    let mut host = Host::with_attempt(Settings { budget, ..settings() });
     host.list(NodeState::Draining, None);
-    assert!(!host.stands(0));
-    let actions = host.event(end(0, Outcome::NotSent));
-    assert!(sends(&actions) == 0 && !over(&actions), "it waits for a node that takes work: {actions:?}");
+    assert!(!host.is_valid(0));
+    let actions = host.handle(ended(0, Outcome::NotSent));
+    assert!(
+        count_sends(&actions) == 0 && !is_answered(&actions),
+        "it waits for a node that accepts work: {actions:?}"
+    );
     let actions = host.list(NodeState::On, None);
-    assert_eq!(sends(&actions), 1, "{actions:?}");
-    assert!(host.stands(1));
+    assert_eq!(count_sends(&actions), 1, "{actions:?}");
+    assert!(host.is_valid(1));
     host.list(NodeState::On, Some(host.now));
-    assert!(!host.stands(1), "another process");
+    assert!(!host.is_valid(1), "another process");
 }
 
 #[test]
-fn one_that_stood_and_found_no_way_is_answered_at_once_as_before() {
-    let mut host = Host::sent(settings());
-    let actions = host.event(end(0, Outcome::NotSent));
-    assert!(over(&actions) && sends(&actions) == 0, "{actions:?}");
+fn a_valid_attempt_without_connection_is_answered_at_once() {
+    let mut host = Host::with_attempt(settings());
+    let actions = host.handle(ended(0, Outcome::NotSent));
+    assert!(is_answered(&actions) && count_sends(&actions) == 0, "{actions:?}");
 }
 
 #[test]
-fn a_further_one_falls_with_the_window_of_the_first() {
+fn a_keyed_retry_is_invalid_after_the_window_of_the_first_attempt() {
     let window = 300_000;
-    let mut set = settings();
-    set.classes = vec![class(Repeats::Keyed { group: Group::All, window })];
-    set.budget = Some(RetryBudget { window: 5 * SECOND, free: 1.0, share: 0.0 });
-    let mut host = Host::sent(set);
+    let mut host_settings = settings();
+    host_settings.classes = vec![class(Repeats::Keyed { group: Group::All, window })];
+    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 1.0, share: 0.0 });
+    let mut host = Host::with_attempt(host_settings);
     host.now += 50_000;
-    let actions = host.event(end(0, Outcome::Reset));
-    assert_eq!(sends(&actions), 1, "{actions:?}");
-    assert!(host.stands(1));
+    let actions = host.handle(ended(0, Outcome::Reset));
+    assert_eq!(count_sends(&actions), 1, "{actions:?}");
+    assert!(host.is_valid(1));
     host.now += window - 60_000;
-    assert!(host.stands(1));
+    assert!(host.is_valid(1));
     host.now += 10_000;
-    assert!(!host.stands(1), "its nodes may have forgotten the key");
-    let actions = host.event(end(1, Outcome::NotSent));
-    assert!(over(&actions) && sends(&actions) == 0, "{actions:?}");
+    assert!(!host.is_valid(1), "its nodes may have forgotten the key");
+    let actions = host.handle(ended(1, Outcome::NotSent));
+    assert!(is_answered(&actions) && count_sends(&actions) == 0, "{actions:?}");
 }
 
 #[test]
-fn a_request_that_is_hastened_has_its_answer_by_then() {
-    let mut host = Host::sent(settings());
-    let actions = host.event(Event::Hastened { request: RequestId(1), patience: 200_000 });
+fn a_request_is_answered_by_its_shortened_deadline() {
+    let mut host = Host::with_attempt(settings());
+    let actions = host.handle(Event::Hastened { request: RequestId(1), patience: 200_000 });
     let mut timers = host.timers.clone();
-    assert!(!over(&actions));
+    assert!(!is_answered(&actions));
     host.now += 200_000;
-    assert!(!host.stands(0));
+    assert!(!host.is_valid(0));
     timers.retain(|&(at, _)| at <= host.now);
-    let answered = timers.into_iter().any(|(_, token)| over(&host.event(Event::Timer(token))));
-    assert!(answered, "it is still owed");
+    let answered = timers.into_iter().any(|(_, token)| is_answered(&host.handle(Event::Timer(token))));
+    assert!(answered, "it has no answer");
 }
