--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the schedulers behind the simulator's wire, on standard input and output.
+//! Runs schedulers for the simulator, on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/benchlink/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter, driven with hand-written batches.
+//! Runs the adapter's binary on hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -19,8 +19,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("the adapter reads its input");
+    child.wait_with_output().expect("the adapter ends")
 }
 
 fn launch(i: u32) -> String {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_is_sent_answered_and_its_late_events_are_passed_over() {
+fn events_after_the_end_of_a_request_are_ignored() {
     let answer = r#"{"Answer":{"i":1,"rid":"RID","n":0,"outcome":"delivered","settled":true,"node":"node.a","spentUs":900,"pressure":[7]}}
 "#
     .replace("RID", "r-1");
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn an_instance_that_is_destroyed_and_launched_in_one_batch_knows_nothing() {
-    let again = "{\"Destroy\":{\"i\":1}}\n".to_owned() + &launch(1);
+fn an_instance_launched_again_in_one_batch_starts_empty() {
+    let relaunch = "{\"Destroy\":{\"i\":1}}\n".to_owned() + &launch(1);
     let stale = "{\"Answer\":{\"i\":1,\"rid\":\"r-1\",\"n\":0,\"outcome\":\"dropped\",\"settled\":false,\"node\":\"node.a\",\"spentUs\":9}}\n";
     let input = batch(2000, 1, &(LEDGER.to_owned() + &launch(1)))
         + &batch(4000, 2, &ask(1, "r-1"))
-        + &batch(6000, 3, &(again + stale + &ask(1, "r-2")));
+        + &batch(6000, 3, &(relaunch + stale + &ask(1, "r-2")));
     let output = run(&input);
     assert!(output.status.success());
     assert_eq!(lines(&output).iter().filter(|l| l.contains("r-1")).count(), 1);
@@ -79,30 +79,30 @@
 }
 
 #[test]
-fn instances_act_alike_alone_and_together() {
-    let play = |instances: &[u32]| {
-        let mut first = LEDGER.to_owned();
-        let mut then = String::new();
+fn instances_do_not_affect_each_other() {
+    let run_instances = |instances: &[u32]| {
+        let mut launches = LEDGER.to_owned();
+        let mut requests = String::new();
         for &i in instances {
-            first += &launch(i);
+            launches += &launch(i);
             for n in 0..8 {
-                then += &ask(i, &format!("r-{i}-{n}"));
+                requests += &ask(i, &format!("r-{i}-{n}"));
             }
         }
-        run(&(batch(2000, 1, &first) + &batch(4000, 2, &then) + &batch(200_000, 3, "")))
+        run(&(batch(2000, 1, &launches) + &batch(4000, 2, &requests) + &batch(200_000, 3, "")))
     };
-    let together = lines(&play(&[1, 2]));
+    let together = lines(&run_instances(&[1, 2]));
     for i in [1, 2] {
-        let of = |all: &[String]| -> Vec<String> {
+        let lines_of_instance = |all: &[String]| -> Vec<String> {
             all.iter().filter(|l| l.contains(&format!("\"i\":{i},"))).cloned().collect()
         };
-        assert_eq!(of(&together), of(&lines(&play(&[i]))));
-        assert!(!of(&together).is_empty());
+        assert_eq!(lines_of_instance(&together), lines_of_instance(&lines(&run_instances(&[i]))));
+        assert!(!lines_of_instance(&together).is_empty());
     }
 }
 
 #[test]
-fn bad_input_gets_a_message_and_a_failure() {
+fn invalid_input_is_reported_and_fails() {
     let bad = [
         ("not json\n", "not a message"),
         ("{\"Sync\":{\"tUs\":1}}\n", "seq"),
