--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 pub fn settings() -> Settings {
     let class = |repeats, in_order| Class {
-        aim: 200_000,
-        aim_stretch: 0.0,
+        latency_target: 200_000,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats,
--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -171,7 +171,7 @@
             matches!(class.repeats, Repeats::Safe | Repeats::Keyed { group: Group::All, .. })
                 || open.uncertain_attempts().next().is_none();
         if retry_is_harmless {
-            let advised = retry_after.max(class.aim / 4).min(self.settings.most_advice);
+            let advised = retry_after.max(class.latency_target / 4).min(self.settings.most_advice);
             let come_back = if self.settings.advice { advised } else { 0 };
             self.state.actions.push(Action::Refuse { request: id, come_back });
         } else {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: 150_000, aim_stretch: 0.0, worth: 1.0, late_worth: 0.1,
+//!         latency_target: 150_000, latency_target_stretch: 0.0, worth: 1.0, late_worth: 0.1,
 //!         repeats: Repeats::Safe, in_order: false, stream: false,
 //!     }],
 //!     plans: vec![Plan {
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -199,7 +199,7 @@
     /// Inserts a request into a queue, with its waiting time counted from now.
     fn insert_now(&mut self, shard_id: ShardId, entry: QueueEntry) {
         let Some(open) = self.state.requests.get(&entry.id) else { return };
-        let latency_target = self.settings.classes[open.request.class].aim;
+        let latency_target = self.settings.classes[open.request.class].latency_target;
         let prompt_until = self.state.now + (PROMPT_FRACTION * latency_target as f64) as Micros;
         self.state.insert_into_queue(shard_id, QueueEntry { prompt_until, ..entry });
         self.state.dirty_shards.insert(shard_id);
@@ -316,7 +316,7 @@
         {
             tokens.left = tokens.left.saturating_sub(1);
         }
-        let latency_target = self.settings.classes[open.request.class].aim.max(1);
+        let latency_target = self.settings.classes[open.request.class].latency_target.max(1);
         let weights = TIERS.map(|tier| node.bound(tier, &view).min(1.0));
         node.paced_until = TIERS.map(|tier| node.paced_until[tier].max(now) + node.pacing_gap(tier, &view));
         open.attempts.push(Attempt::sent_to(node, now, charged));
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -211,7 +211,7 @@
     /// Sets a request's time limits, taking over the due time of an earlier try that ended unserved.
     fn open_request(&mut self, request: Request) -> OpenRequest {
         let now = self.state.now;
-        let latency_target = self.settings.classes[request.class].aim;
+        let latency_target = self.settings.classes[request.class].latency_target;
         let (own_due, deadline) = (now + latency_target, now + request.patience);
         // Impatient clients retry a request many times. All tries share one worth, and the latency target
         // runs from the first try: a retry is due when the try before it was, so that it counts as late in
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -33,10 +33,10 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Latency target in microseconds: an answer within it earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The target grows by this multiple of the time that the request's own work takes. For information only;
     /// no decision depends on it.
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
     /// What a request served in time is worth, in points.
     pub worth: f64,
     /// The fraction of the worth that a late answer earns.
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -74,8 +74,8 @@
     /// The settings of a host.
     pub fn settings(&self, index: u32) -> Settings {
         let class = Class {
-            aim: 250_000,
-            aim_stretch: 0.0,
+            latency_target: 250_000,
+            latency_target_stretch: 0.0,
             worth: 1.0,
             late_worth: 0.1,
             repeats: Repeats::Safe,
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -11,8 +11,8 @@
 
 pub fn class(repeats: Repeats) -> Class {
     Class {
-        aim: 200_000,
-        aim_stretch: 0.0,
+        latency_target: 200_000,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats,
--- a/crates/decisions/tests/common/random_events.rs
+++ b/crates/decisions/tests/common/random_events.rs
@@ -30,7 +30,7 @@
         class(Repeats::Keyed { group: Group::Zone, window: SECOND }),
     ];
     single.classes[1].in_order = true;
-    single.classes[2].aim = 600_000;
+    single.classes[2].latency_target = 600_000;
     let limited = Plan { limit: 40.0, limit_burst: 64.0, limit_slack: 8.0, ..plan() };
     single.plans = vec![limited, Plan { reserve: 0.0, weight: 3.0, ..plan() }];
     single.hosts = 1;
--- a/crates/decisions/tests/order.rs
+++ b/crates/decisions/tests/order.rs
@@ -106,7 +106,7 @@
     const SECONDS: Micros = 20;
     let mut host_settings = settings();
     host_settings.plans[0].reserve = 1e9;
-    let latency_target = host_settings.classes[0].aim;
+    let latency_target = host_settings.classes[0].latency_target;
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     let (mut next, mut busy_until, mut in_time) = (0, 0, 0);
     // Two requests arrive in the service time of one; the node serves them one by one.
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -143,7 +143,7 @@
 #[test]
 fn a_host_that_just_started_sends_nothing_to_a_cold_node_for_a_window() {
     let mut host_settings = settings();
-    host_settings.classes[0].aim = 4 * SECOND;
+    host_settings.classes[0].latency_target = 4 * SECOND;
     let mut host = Host::at(host_settings, 50 * SECOND);
     let mut cold = entry(0, 0);
     cold.started = Some(49 * SECOND);
@@ -161,7 +161,7 @@
 fn requests_of_one_key_run_in_order_and_the_key_pauses_after_a_reset() {
     let mut host_settings = settings();
     host_settings.classes[0].in_order = true;
-    host_settings.classes[0].aim = 5 * SECOND;
+    host_settings.classes[0].latency_target = 5 * SECOND;
     host_settings.most_attempts = 1;
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 1..4 {
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -6,8 +6,8 @@
 
 fn settings() -> Settings {
     let class = |repeats| Class {
-        aim: 100_000,
-        aim_stretch: 0.0,
+        latency_target: 100_000,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats,
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -17,8 +17,8 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: AIM,
-        aim_stretch: 0.0,
+        latency_target: AIM,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats: Repeats::Safe,
--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -128,8 +128,8 @@
             other => return Err(ProfileError::Idempotency { class: index, word: other.to_owned() }),
         };
         Ok(Class {
-            aim: self.target_us,
-            aim_stretch: self.aim_stretch.unwrap_or(0.0),
+            latency_target: self.target_us,
+            latency_target_stretch: self.aim_stretch.unwrap_or(0.0),
             worth: self.worth,
             late_worth: self.late_value,
             repeats,
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -34,8 +34,8 @@
     pub fn module(&self, index: usize) -> Settings {
         let (g, r) = (&self.site, &self.rules);
         let class = |c: &Class| decisions::Class {
-            aim: micros(c.aim_ms),
-            aim_stretch: 0.0,
+            latency_target: micros(c.aim_ms),
+            latency_target_stretch: 0.0,
             worth: c.worth,
             late_worth: c.late_worth,
             repeats: match c.repeats {
