--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,7 +1,7 @@
 //! The one final answer of each operation.
 
 use bytes::BytesMut;
-use decisions::{Group, Repeats};
+use decisions::{DedupScope, Idempotency};
 use dispatch::Verdict;
 
 use crate::catalogue::Catalogue;
@@ -45,10 +45,10 @@
     /// once any part of its write may have run it is not told that a repeat is safe, whatever the class's group. Also
     /// covers hosts of other makers, which know of no tokens. Harm: more failures for them, fewer refusals.
     pub(crate) fn repeat_is_harmless(&self, open: &Open) -> bool {
-        let repeats = self.catalogue.settings.classes[open.class].repeats;
-        let known = open.named && matches!(repeats, Repeats::Keyed { group: Group::All, .. });
+        let idempotency = self.catalogue.settings.classes[open.class].idempotency;
+        let known = open.named && matches!(idempotency, Idempotency::Keyed { scope: DedupScope::All, .. });
         let untouched = open.pieces.iter().all(|p| p.doubt == 0);
-        untouched || known || open.operation.opcode != Opcode::Write || repeats == Repeats::Safe
+        untouched || known || open.operation.opcode != Opcode::Write || idempotency == Idempotency::Safe
     }
 
     pub(crate) fn count_unserved(&mut self, ticket: Ticket, answer: &Answer) {
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use bytes::Bytes;
-use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
+use decisions::{Idempotency, Micros, NodeId, Outcome, Request, RequestId, ShardId, Shortage, VolumeId};
 use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
 
 use crate::catalogue::{Catalogue, Part};
@@ -342,7 +342,10 @@
             shard: part.shard,
             further,
             token: operation.token,
-            keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
+            keyed: matches!(
+                self.catalogue.settings.classes[open.class].idempotency,
+                Idempotency::Keyed { .. }
+            ),
         }));
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::*;
-use decisions::{Group, NodeId, Repeats};
+use decisions::{DedupScope, Idempotency, NodeId};
 use proptest::prelude::*;
 use storage_core::*;
 
@@ -23,7 +23,7 @@
     /// With bulk writes whose repeats every node discards by their token.
     fn known_to_all() -> Self {
         let mut settings = settings();
-        settings.classes[2].repeats = Repeats::Keyed { group: Group::All, window: 2_000_000 };
+        settings.classes[2].idempotency = Idempotency::Keyed { scope: DedupScope::All, window: 2_000_000 };
         Driver { core: core_of(catalogue_of(settings)), ..Driver::new() }
     }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -6,21 +6,21 @@
 use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, Ticket, Volume};
 
 pub fn settings() -> Settings {
-    let class = |repeats, in_order| Class {
+    let class = |idempotency, in_order| Class {
         latency_target: 200_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order,
         stream: false,
     };
     Settings {
         classes: vec![
-            class(Repeats::Safe, false),
-            class(Repeats::Keyed { group: Group::Shard, window: 2_000_000 }, true),
-            class(Repeats::Unsafe, false),
-            class(Repeats::Safe, false),
+            class(Idempotency::Safe, false),
+            class(Idempotency::Keyed { scope: DedupScope::Shard, window: 2_000_000 }, true),
+            class(Idempotency::Unsafe, false),
+            class(Idempotency::Safe, false),
         ],
         plans: vec![Plan {
             rate: 1000.0,
--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -167,9 +167,10 @@
         let Some(open) = self.state.requests.get(&id).filter(|o| !o.finished) else { return };
         let retry_after = self.state.awaited_tokens(open).map_or(retry_after, |tokens| tokens.retry_after);
         let class = &self.settings.classes[open.request.class];
-        let retry_is_harmless =
-            matches!(class.repeats, Repeats::Safe | Repeats::Keyed { group: Group::All, .. })
-                || open.uncertain_attempts().next().is_none();
+        let retry_is_harmless = matches!(
+            class.idempotency,
+            Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. }
+        ) || open.uncertain_attempts().next().is_none();
         if retry_is_harmless {
             let advised = retry_after.max(class.latency_target / 4).min(self.settings.most_advice);
             let come_back = if self.settings.advice { advised } else { 0 };
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -11,7 +11,7 @@
 //! let settings = Settings {
 //!     classes: vec![Class {
 //!         latency_target: 150_000, latency_target_stretch: 0.0, worth: 1.0, late_worth: 0.1,
-//!         repeats: Repeats::Safe, in_order: false, stream: false,
+//!         idempotency: Idempotency::Safe, in_order: false, stream: false,
 //!     }],
 //!     plans: vec![Plan {
 //!         rate: 10.0, reserve: 5.0, limit: 0.0, limit_burst: 0.0, limit_slack: 0.0,
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -4,13 +4,13 @@
 
 /// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum Idempotency {
     /// It is idempotent: any number of runs is harmless.
     Safe,
-    /// Nodes of the group discard repeated runs by key, for `window` after the first send that may have run.
+    /// Nodes of the scope discard repeated runs by key, for `window` after the first send that may have run.
     Keyed {
         /// The nodes that recognise the key.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember it, in microseconds.
         window: Micros,
     },
@@ -20,7 +20,7 @@
 
 /// The nodes that recognise the key of a request that may have run already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All nodes.
     All,
     /// The nodes in the zone of the node that it was first sent to.
@@ -42,7 +42,7 @@
     /// The fraction of the worth that a late answer earns.
     pub late_worth: f64,
     /// Whether a request may run more than once.
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     /// Requests with the same key run one at a time, in order of arrival.
     pub in_order: bool,
     /// Answers are streamed: `Event::Started` reports their begin.
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -33,14 +33,14 @@
 impl Class {
     /// Whether a request of this class may be sent to `node` although `attempt` may have run.
     fn may_repeat(&self, attempt: &Attempt, node: &Node, now: Micros) -> bool {
-        match self.repeats {
-            Repeats::Safe => true,
-            Repeats::Unsafe => false,
-            Repeats::Keyed { group, window } => {
-                let recognised = match group {
-                    Group::All => true,
-                    Group::Zone => attempt.zone == node.zone,
-                    Group::Shard => attempt.shard == node.shard,
+        match self.idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => false,
+            Idempotency::Keyed { scope, window } => {
+                let recognised = match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => attempt.zone == node.zone,
+                    DedupScope::Shard => attempt.shard == node.shard,
                 };
                 recognised && now - attempt.sent < window - window / 50
             }
--- a/crates/decisions/tests/allowance.rs
+++ b/crates/decisions/tests/allowance.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_request_that_may_have_run_fails_and_one_that_never_ran_is_refused() {
-    let mut host = host_of(class(Repeats::Keyed { group: Group::Shard, window: 2 * SECOND }));
+    let mut host = host_of(class(Idempotency::Keyed { scope: DedupScope::Shard, window: 2 * SECOND }));
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(request(1));
     host.answer(1, 0, Outcome::Error);
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_key_in_order_continues_after_a_refusal() {
-    let mut host = host_of(Class { in_order: true, ..class(Repeats::Safe) });
+    let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) });
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.set_retry_tokens(0, 0, ADVICE);
     for r in [request(1), request(2), retry(3), request(4)] {
@@ -177,7 +177,7 @@
 #[test]
 fn many_retries_of_one_key_are_refused_in_one_step() {
     const RETRIES: u64 = 3000;
-    let mut host = host_of(Class { in_order: true, ..class(Repeats::Safe) });
+    let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) });
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(same_key(request(0)));
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -10,7 +10,7 @@
 
 /// A host without tokens at shard 0, where `limit` requests may wait for one.
 fn host_with_limit(limit: u32) -> Host {
-    host_of(class(Repeats::Safe), limit)
+    host_of(class(Idempotency::Safe), limit)
 }
 
 fn host_of(class: Class, limit: u32) -> Host {
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_request_in_order_does_not_wait_as_its_key_would_wait_too() {
-    let mut host = host_of(Class { in_order: true, ..class(Repeats::Safe) }, 4);
+    let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) }, 4);
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.submit(same_key(retry(1)));
     assert_eq!(host.refused(1), Some(ADVICE));
@@ -143,7 +143,7 @@
 #[test]
 fn the_request_of_most_worth_gets_the_first_token() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Safe), Class { worth: 8.0, ..class(Repeats::Safe) }];
+    host_settings.classes = vec![class(Idempotency::Safe), Class { worth: 8.0, ..class(Idempotency::Safe) }];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     set_limit(&mut host, 3);
     host.set_retry_tokens(0, 0, ADVICE);
--- a/crates/decisions/tests/awaiting_ends.rs
+++ b/crates/decisions/tests/awaiting_ends.rs
@@ -23,7 +23,7 @@
 /// it is sent.
 #[test]
 fn an_unused_token_goes_to_the_next_waiting_request() {
-    let mut host = host_of(class(Repeats::Safe));
+    let mut host = host_of(class(Idempotency::Safe));
     host.set_retry_tokens(0, 0, ADVICE);
     (1..=4).for_each(|id| _ = host.submit(request(id)));
     assert_eq!(host.sent().len(), 4, "the node is full");
@@ -58,7 +58,7 @@
 /// Guards against a request that waits for a token although it can never be sent again.
 #[test]
 fn a_request_that_must_not_run_twice_does_not_wait_for_a_token() {
-    let mut host = host_of(class(Repeats::Unsafe));
+    let mut host = host_of(class(Idempotency::Unsafe));
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(request(1));
     host.answer(1, 0, Outcome::Error);
@@ -69,7 +69,7 @@
 /// never has a token again.
 #[test]
 fn a_request_whose_answer_had_begun_does_not_wait_for_ever() {
-    let mut host = host_of(Class { stream: true, ..class(Repeats::Safe) });
+    let mut host = host_of(Class { stream: true, ..class(Idempotency::Safe) });
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(request(1));
     host.handle(Event::Started { request: RequestId(1), attempt: 0, node: NodeId(0), latency: 1000 });
--- a/crates/decisions/tests/causes.rs
+++ b/crates/decisions/tests/causes.rs
@@ -16,7 +16,7 @@
 }
 
 fn safe_host() -> Host {
-    host(class(Repeats::Safe), &[entry(0, 0)])
+    host(class(Idempotency::Safe), &[entry(0, 0)])
 }
 
 fn counted(host: &Host) -> Vec<(Cause, u64)> {
@@ -65,7 +65,7 @@
 
 #[test]
 fn waiting_behind_another_request_of_the_key_is_counted() {
-    let mut host = host(Class { in_order: true, ..class(Repeats::Safe) }, &[entry(0, 0)]);
+    let mut host = host(Class { in_order: true, ..class(Idempotency::Safe) }, &[entry(0, 0)]);
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.submit(same_key(request(1)));
     host.submit(same_key(Request { patience: SECOND / 10, ..request(2) }));
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_second_run_is_detected() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Unsafe)];
+    host_settings.classes = vec![class(Idempotency::Unsafe)];
     let mut checker = checker_for(host_settings);
     checker.event(0, &Event::Request(request(1)));
     checker.action(0, &send(1));
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -78,7 +78,7 @@
             latency_target_stretch: 0.0,
             worth: 1.0,
             late_worth: 0.1,
-            repeats: Repeats::Safe,
+            idempotency: Idempotency::Safe,
             in_order: false,
             stream: false,
         };
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -148,8 +148,8 @@
                     self.breach(now, "1: a second final answer");
                 }
                 let record = &self.records[request];
-                let harmless = match self.settings.classes[record.request.class].repeats {
-                    Repeats::Safe | Repeats::Keyed { group: Group::All, .. } => true,
+                let harmless = match self.settings.classes[record.request.class].idempotency {
+                    Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
                     _ => record.attempts.iter().all(|a| never_ran(&a.outcome)),
                 };
                 if !harmless {
@@ -192,14 +192,14 @@
             breaches.push("2: two attempts at once");
         }
         for a in record.attempts.iter().filter(|a| !never_ran(&a.outcome)) {
-            let harmless = match class.repeats {
-                Repeats::Safe => true,
-                Repeats::Unsafe => false,
-                Repeats::Keyed { group, window } => {
-                    let recognised = match group {
-                        Group::All => true,
-                        Group::Zone => a.zone == entry.zone,
-                        Group::Shard => a.shard == entry.shard,
+            let harmless = match class.idempotency {
+                Idempotency::Safe => true,
+                Idempotency::Unsafe => false,
+                Idempotency::Keyed { scope, window } => {
+                    let recognised = match scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => a.zone == entry.zone,
+                        DedupScope::Shard => a.shard == entry.shard,
                     };
                     recognised && now - a.sent <= window
                 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -9,13 +9,13 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeats: Repeats) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_target: 200_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order: false,
         stream: false,
     }
@@ -36,7 +36,7 @@
 /// One idempotent class, one plan without limit, no retry budget.
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Repeats::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         plans: vec![plan()],
         hosts: 3,
         index: 0,
--- a/crates/decisions/tests/common/random_events.rs
+++ b/crates/decisions/tests/common/random_events.rs
@@ -24,10 +24,10 @@
 pub fn variants() -> Vec<(&'static str, Settings)> {
     let mut single = settings();
     single.classes = vec![
-        class(Repeats::Safe),
-        class(Repeats::Keyed { group: Group::Shard, window: 2 * SECOND }),
-        class(Repeats::Unsafe),
-        class(Repeats::Keyed { group: Group::Zone, window: SECOND }),
+        class(Idempotency::Safe),
+        class(Idempotency::Keyed { scope: DedupScope::Shard, window: 2 * SECOND }),
+        class(Idempotency::Unsafe),
+        class(Idempotency::Keyed { scope: DedupScope::Zone, window: SECOND }),
     ];
     single.classes[1].in_order = true;
     single.classes[2].latency_target = 600_000;
@@ -40,7 +40,7 @@
     large_fleet.cold_units = 200.0;
     let mut copies = single.clone();
     (copies.second_copies, copies.must_ask, copies.budget) = (true, true, None);
-    copies.classes[1].repeats = Repeats::Keyed { group: Group::All, window: SECOND };
+    copies.classes[1].idempotency = Idempotency::Keyed { scope: DedupScope::All, window: SECOND };
     let mut bare = settings();
     bare.classes = single.classes.clone();
     (bare.advice, bare.cold_window, bare.order_rest, bare.most_attempts) = (false, 0, 0, 1);
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -40,7 +40,7 @@
 fn slow_answers_lower_the_bound_to_its_minimum() {
     let mut host_settings = settings();
     host_settings.plans[0].reserve = 1e6;
-    host_settings.classes.push(Class { latency_target: 10 * SECOND, ..class(Repeats::Safe) });
+    host_settings.classes.push(Class { latency_target: 10 * SECOND, ..class(Idempotency::Safe) });
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     fill(&mut host, 0..4);
     host.advance(500_000);
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -4,8 +4,8 @@
 use common::*;
 use decisions::*;
 
-fn keyed(group: Group) -> Repeats {
-    Repeats::Keyed { group, window: SECOND / 2 }
+fn keyed(scope: DedupScope) -> Idempotency {
+    Idempotency::Keyed { scope, window: SECOND / 2 }
 }
 
 #[test]
@@ -44,7 +44,7 @@
 #[test]
 fn an_unsafe_request_is_retried_after_full_but_never_after_an_error() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Unsafe)];
+    host_settings.classes = vec![class(Idempotency::Unsafe)];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     host.submit(request(1));
     host.answer(1, 0, Outcome::Error);
@@ -59,7 +59,7 @@
 #[test]
 fn a_keyed_request_is_retried_within_its_shard_and_window_only() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(keyed(Group::Shard))];
+    host_settings.classes = vec![class(keyed(DedupScope::Shard))];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     host.submit(request(1));
     host.advance(100_000);
@@ -75,7 +75,7 @@
 #[test]
 fn a_keyed_new_object_stays_in_its_group_once_it_may_have_run() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(keyed(Group::Shard))];
+    host_settings.classes = vec![class(keyed(DedupScope::Shard))];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0), entry(1, 1)]);
     let mut r = request(1);
     r.shard = None;
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -132,7 +132,7 @@
 fn a_keyed_retry_is_invalid_after_the_window_of_the_first_attempt() {
     let window = 300_000;
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Keyed { group: Group::All, window })];
+    host_settings.classes = vec![class(Idempotency::Keyed { scope: DedupScope::All, window })];
     host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 1.0, share: 0.0 });
     let mut host = Host::with_attempt(host_settings);
     host.now += 50_000;
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -5,12 +5,12 @@
 use proptest::prelude::*;
 
 fn settings() -> Settings {
-    let class = |repeats| Class {
+    let class = |idempotency| Class {
         latency_target: 100_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order: false,
         stream: false,
     };
@@ -24,7 +24,7 @@
         price: 1.0,
     };
     Settings {
-        classes: vec![class(Repeats::Safe), class(Repeats::Unsafe)],
+        classes: vec![class(Idempotency::Safe), class(Idempotency::Unsafe)],
         plans: vec![plan],
         hosts: 1,
         index: 0,
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -21,7 +21,7 @@
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats: Repeats::Safe,
+        idempotency: Idempotency::Safe,
         in_order: false,
         stream: false,
     };
--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -2,7 +2,7 @@
 
 mod check;
 
-use decisions::{Class, Group, Micros, Plan, Repeats, RetryBudget, Settings};
+use decisions::{Class, DedupScope, Idempotency, Micros, Plan, RetryBudget, Settings};
 use serde::Deserialize;
 
 use crate::service::{ClassName, Service};
@@ -114,14 +114,14 @@
 
 impl WireClass {
     fn class(&self, index: usize) -> Result<Class, ProfileError> {
-        let repeats = match self.idempotency.as_str() {
-            "read_like" => Repeats::Safe,
-            "non_idempotent" => Repeats::Unsafe,
-            "idempotency_key" => Repeats::Keyed {
-                group: match self.group.as_deref() {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    _ => Group::Shard,
+        let idempotency = match self.idempotency.as_str() {
+            "read_like" => Idempotency::Safe,
+            "non_idempotent" => Idempotency::Unsafe,
+            "idempotency_key" => Idempotency::Keyed {
+                scope: match self.group.as_deref() {
+                    Some("all") => DedupScope::All,
+                    Some("zone") => DedupScope::Zone,
+                    _ => DedupScope::Shard,
                 },
                 window: self.key_ttl_us.unwrap_or(0),
             },
@@ -132,7 +132,7 @@
             latency_target_stretch: self.aim_stretch.unwrap_or(0.0),
             worth: self.worth,
             late_worth: self.late_value,
-            repeats,
+            idempotency,
             in_order: self.fifo_by_key.unwrap_or(false),
             stream: self.stream.unwrap_or(false),
         })
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use decisions::{Group, Micros, RetryBudget, Settings, ShardId};
+use decisions::{DedupScope, Micros, RetryBudget, Settings, ShardId};
 use emulator::{ModelOptions, NodeOptions};
 use gateway::{GatewayOptions, LinkOptions, NodeLine, NodeLineState};
 use load::ClientOptions;
@@ -38,11 +38,11 @@
             latency_target_stretch: 0.0,
             worth: c.worth,
             late_worth: c.late_worth,
-            repeats: match c.repeats {
-                Repeats::Safe => decisions::Repeats::Safe,
-                Repeats::Unsafe => decisions::Repeats::Unsafe,
-                Repeats::Keyed => decisions::Repeats::Keyed {
-                    group: Group::Shard,
+            idempotency: match c.repeats {
+                Repeats::Safe => decisions::Idempotency::Safe,
+                Repeats::Unsafe => decisions::Idempotency::Unsafe,
+                Repeats::Keyed => decisions::Idempotency::Keyed {
+                    scope: DedupScope::Shard,
                     window: micros(c.window_ms.unwrap_or(0)),
                 },
             },
