--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -141,7 +141,7 @@
 
     /// Units of an operation's part: its bytes in whole units, at least one, at most the settings' largest.
     pub fn units(&self, bytes: u64) -> f64 {
-        (bytes.div_ceil(self.unit_bytes).max(1) as f64).min(self.settings.most_units.max(1.0))
+        (bytes.div_ceil(self.unit_bytes).max(1) as f64).min(self.settings.max_request_units.max(1.0))
     }
 }
 
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -178,7 +178,7 @@
         for ticket in tickets {
             let Some(open) = self.open.get(&ticket) else { continue };
             let answer = if self.repeat_is_harmless(open) {
-                Answer::Refused { come_back: self.catalogue.settings.most_advice }
+                Answer::Refused { come_back: self.catalogue.settings.max_retry_after }
             } else {
                 Answer::Failed
             };
--- a/crates/decisions/examples/cold.rs
+++ b/crates/decisions/examples/cold.rs
@@ -26,7 +26,7 @@
             let saturated = Fleet {
                 mean_work: true,
                 load: 5.0,
-                cold_from: 0.9,
+                cold_start_fraction: 0.9,
                 ..Fleet::new(0, hosts, requests_per_window)
             };
             let saturated = Fleet { list_delay: SECOND / 10, ..saturated };
--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -157,7 +157,7 @@
             && matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
             && let Some(order) = open.request.key.and_then(|k| self.state.key_orders.get_mut(&k))
         {
-            order.paused_until = order.paused_until.max(self.state.now + self.settings.order_rest);
+            order.paused_until = order.paused_until.max(self.state.now + self.settings.key_pause);
         }
     }
 
@@ -172,8 +172,8 @@
             Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. }
         ) || open.uncertain_attempts().next().is_none();
         if retry_is_harmless {
-            let advised = retry_after.max(class.latency_target / 4).min(self.settings.most_advice);
-            let come_back = if self.settings.advice { advised } else { 0 };
+            let advised = retry_after.max(class.latency_target / 4).min(self.settings.max_retry_after);
+            let come_back = if self.settings.retry_advice { advised } else { 0 };
             self.state.actions.push(Action::Refuse { request: id, come_back });
         } else {
             self.state.actions.push(Action::Fail { request: id });
--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/cold.rs
@@ -33,7 +33,8 @@
         }
         let capacity = self.cold_capacity(age);
         let hosts = f64::from(self.settings.hosts);
-        let least = (SLOT_REQUESTS * self.settings.mean_units).clamp(1.0, self.settings.most_units.max(1.0));
+        let least = (SLOT_REQUESTS * self.settings.mean_request_units)
+            .clamp(1.0, self.settings.max_request_units.max(1.0));
         let slots = (capacity / least).floor().clamp(1.0, hosts);
         if slots < hosts
             && let Some(at) = self.slow_start_slot_wait(node, request, age, slots)
@@ -47,9 +48,12 @@
     fn cold_capacity(&self, age: Micros) -> f64 {
         let window = self.settings.cold_window;
         let warm = (age - window).max(0) as f64 / self.settings.warm_after.max(1) as f64;
-        let base =
-            if self.settings.cold_units > 0.0 { self.settings.cold_units } else { self.settings.most_units };
-        base * (1.0 + (1.0 / self.settings.cold_from.clamp(0.01, 1.0) - 1.0) * warm.min(1.0))
+        let base = if self.settings.cold_units > 0.0 {
+            self.settings.cold_units
+        } else {
+            self.settings.max_request_units
+        };
+        base * (1.0 + (1.0 / self.settings.cold_start_fraction.clamp(0.01, 1.0) - 1.0) * warm.min(1.0))
     }
 
     /// When this host may next have one of the `slots` slow-start slots, if it has none now.
@@ -67,7 +71,7 @@
         let position = (f64::from(self.settings.index) - first.floor()).rem_euclid(hosts);
         let mut seed = u64::from(self.settings.index) << 32 ^ u64::from(node.shard.0) << 16 ^ number as u64;
         let volume_hosts = f64::from(request.hosts.max(1));
-        let requests = self.cold_capacity(age) / self.settings.mean_units;
+        let requests = self.cold_capacity(age) / self.settings.mean_request_units;
         let chance = self.extra_slot_chance(slots, requests, volume_hosts);
         let drawn = (next_random(&mut seed) as f64) < chance * u64::MAX as f64;
         if age % period >= window * SLOT_WINDOWS {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -17,11 +17,11 @@
 //!         rate: 10.0, reserve: 5.0, limit: 0.0, limit_burst: 0.0, limit_slack: 0.0,
 //!         weight: 1.0, price: 1.0,
 //!     }],
-//!     hosts: 1, index: 0, must_ask: false, most_attempts: 3, second_copies: false, cancel: true,
-//!     probes: false, advice: true, most_advice: 1_000_000,
-//!     cold_units: 10.0, cold_window: 2_000_000, cold_from: 0.2,
-//!     warm_after: 10_000_000, drain_grace: 500_000, order_rest: 0, budget: None, most_units: 8.0,
-//!     mean_units: 2.0, share_worth: 0.5, spare_worth: 0.1, waste_price: 0.0,
+//!     hosts: 1, index: 0, needs_subscription: false, max_attempts: 3, hedging: false, cancellation: true,
+//!     probing: false, retry_advice: true, max_retry_after: 1_000_000,
+//!     cold_units: 10.0, cold_window: 2_000_000, cold_start_fraction: 0.2,
+//!     warm_after: 10_000_000, drain_grace: 500_000, key_pause: 0, retry_budget: None,
+//!     max_request_units: 8.0, mean_request_units: 2.0, share_worth: 0.5, spare_worth: 0.1, waste_cost: 0.0,
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7);
 //! let mut actions = Vec::new();
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -309,7 +309,7 @@
         {
             limit.add(now, -open.request.units);
         }
-        if self.settings.budget.is_some() && open.tries() > 0 {
+        if self.settings.retry_budget.is_some() && open.tries() > 0 {
             self.state.retry_times.push_back(now);
         }
         if let (true, Some(tokens)) = (open.needs_retry_token(), self.state.retry_tokens.get_mut(&node.shard))
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -56,7 +56,7 @@
         if self.state.started_at.is_none() {
             self.state.started_at = Some(self.state.now);
             self.state.wakes.insert((self.state.now + SWEEP_INTERVAL, Wake::Sweep));
-            if self.settings.must_ask {
+            if self.settings.needs_subscription {
                 self.state.actions.push(Action::Subscribe);
             }
         }
@@ -147,7 +147,7 @@
 
     fn on_request(&mut self, request: Request) {
         let now = self.state.now;
-        if self.settings.budget.is_some() {
+        if self.settings.retry_budget.is_some() {
             self.state.request_times.push_back(now);
         }
         let id = request.id;
@@ -193,10 +193,10 @@
                 capacity: plan.limit_burst / hosts,
             }),
             reserve: TokenBucket {
-                level: plan.reserve + self.settings.most_units,
+                level: plan.reserve + self.settings.max_request_units,
                 updated_at: now,
                 rate: plan.reserve / hosts.sqrt(),
-                capacity: plan.reserve / hosts.sqrt() + self.settings.most_units,
+                capacity: plan.reserve / hosts.sqrt() + self.settings.max_request_units,
             },
             last_request: now,
             metered_use: 0.0,
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -74,9 +74,9 @@
     /// Span over which requests and retries are counted, in microseconds.
     pub window: Micros,
     /// Retries allowed in a window in any case.
-    pub free: f64,
+    pub base: f64,
     /// Further retries allowed for each request received in the window.
-    pub share: f64,
+    pub per_request: f64,
 }
 
 /// The settings of a host, fixed from its start.
@@ -91,41 +91,41 @@
     /// This host's index among them, from 0.
     pub index: u32,
     /// The host gets changes of the node list only after `Action::Subscribe`.
-    pub must_ask: bool,
+    pub needs_subscription: bool,
     /// Maximum number of attempts of one request, the first included.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Hedging is allowed: several attempts of one request may be in flight at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Nodes may be probed.
-    pub probes: bool,
+    pub probing: bool,
     /// Refusals advise clients when to retry.
-    pub advice: bool,
+    pub retry_advice: bool,
     /// The longest such advice, in microseconds.
-    pub most_advice: Micros,
+    pub max_retry_after: Micros,
     /// Units that a node that has just started can take within `cold_window` from all hosts together.
     pub cold_units: f64,
     /// Length of the sliding window in which that is counted, in microseconds; 0 turns the rule off.
     pub cold_window: Micros,
     /// The fraction of its full capacity that a node has when it starts, at least.
-    pub cold_from: f64,
+    pub cold_start_fraction: f64,
     /// Time from its start after which a node has its full capacity, at most, in microseconds.
     pub warm_after: Micros,
     /// How long attempts may still be sent to a draining or removed node, in microseconds.
     pub drain_grace: Micros,
     /// Pause of a key after an attempt that may still run, in microseconds, for classes that keep the order.
-    pub order_rest: Micros,
+    pub key_pause: Micros,
     /// The budget for retries, if there is one.
-    pub budget: Option<RetryBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Maximum units of a request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// Mean units of a request.
-    pub mean_units: f64,
+    pub mean_request_units: f64,
     /// Worth of units within the share, as a fraction of the full worth.
     pub share_worth: f64,
     /// Worth of units beyond reserve and share, as a fraction of the full worth.
     pub spare_worth: f64,
     /// Points that wasted node work costs, as a fraction of all points.
-    pub waste_price: f64,
+    pub waste_cost: f64,
 }
--- a/crates/decisions/src/sweep.rs
+++ b/crates/decisions/src/sweep.rs
@@ -18,7 +18,7 @@
         self.state.key_orders.retain(|_, order| !order.requests.is_empty() || now < order.paused_until);
         let window = self.settings.cold_window;
         self.state.nodes.values_mut().for_each(|n| n.recent_sends.retain(|s| s.0 > now - window));
-        let counted = now - self.settings.budget.map_or(0, |b| b.window);
+        let counted = now - self.settings.retry_budget.map_or(0, |b| b.window);
         self.state.request_times.retain(|&t| t >= counted);
         self.state.retry_times.retain(|&t| t >= counted);
         self.state.nodes.retain(|_, n| {
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -88,14 +88,14 @@
         let Some(open) = self.state.requests.get(&id) else { return Verdict::Never };
         let class = &self.settings.classes[open.request.class];
         let tries = open.tries();
-        let max_attempts = self.settings.most_attempts as usize;
+        let max_attempts = self.settings.max_attempts as usize;
         if open.finished || open.streaming || now >= open.deadline || open.attempts.len() >= max_attempts {
             return Verdict::Never;
         }
         if node.state != NodeState::On {
             return Verdict::Wait(None);
         }
-        if open.is_in_flight() && !self.settings.second_copies {
+        if open.is_in_flight() && !self.settings.hedging {
             return Verdict::Never;
         }
         if !open.uncertain_attempts().all(|a| class.may_repeat(a, node, now)) {
@@ -170,11 +170,11 @@
 
     /// Whether the retry budget allows one more retry.
     fn has_retry_budget(&self) -> bool {
-        self.settings.budget.is_none_or(|budget| {
+        self.settings.retry_budget.is_none_or(|budget| {
             let since = self.state.now - budget.window;
             let requests = self.state.request_times.iter().filter(|&&t| t > since).count();
             let retries = self.state.retry_times.iter().filter(|&&t| t >= since).count();
-            (retries + 1) as f64 <= budget.free + budget.share * requests as f64
+            (retries + 1) as f64 <= budget.base + budget.per_request * requests as f64
         })
     }
 }
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -110,7 +110,7 @@
 #[test]
 fn exceeding_the_budget_or_the_limit_is_detected() {
     let mut host_settings = settings();
-    host_settings.budget = Some(RetryBudget { window: SECOND, free: 0.0, share: 0.5 });
+    host_settings.retry_budget = Some(RetryBudget { window: SECOND, base: 0.0, per_request: 0.5 });
     host_settings.plans[0].limit = 1.0;
     host_settings.plans[0].limit_burst = 4.0;
     let mut checker = checker_for(host_settings);
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -21,7 +21,7 @@
     Fleet {
         mean_work: true,
         load: 4.0,
-        cold_from: 0.9,
+        cold_start_fraction: 0.9,
         list_delay: SECOND / 10,
         ..Fleet::new(0, hosts, requests_per_window)
     }
@@ -66,7 +66,7 @@
         (
             host_settings.hosts,
             host_settings.cold_units,
-            host_settings.cold_from,
+            host_settings.cold_start_fraction,
             host_settings.plans[0].reserve,
         ) = (1, 8.0, 1.0, 1e6);
         let mut node = entry(0, 0);
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -45,7 +45,7 @@
     /// All requests are of mean work, so that slow-start slots can be used fully.
     pub mean_work: bool,
     /// The fraction of its capacity that a node starts with.
-    pub cold_from: f64,
+    pub cold_start_fraction: f64,
     /// Longest delay of a node list change.
     pub list_delay: Micros,
     /// Injected fault: the hosts' setting of a cold node's capacity is this multiple of the true one.
@@ -65,7 +65,7 @@
             starts: (10, 20),
             killed_together: false,
             mean_work: false,
-            cold_from: 0.25,
+            cold_start_fraction: 0.25,
             list_delay: 2 * SECOND,
             cold_units_factor: 1.0,
         }
@@ -96,25 +96,25 @@
             plans: vec![plan],
             hosts: self.hosts,
             index,
-            must_ask: false,
-            most_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            advice: true,
-            most_advice: SECOND,
+            needs_subscription: false,
+            max_attempts: 4,
+            hedging: false,
+            cancellation: true,
+            probing: false,
+            retry_advice: true,
+            max_retry_after: SECOND,
             cold_units: self.requests_per_window * 2.0 * self.cold_units_factor,
             cold_window: 2 * SECOND,
-            cold_from: self.cold_from,
+            cold_start_fraction: self.cold_start_fraction,
             warm_after: 12 * SECOND,
             drain_grace: SECOND,
-            order_rest: 0,
-            budget: None,
-            most_units: 8.0,
-            mean_units: 2.0,
+            key_pause: 0,
+            retry_budget: None,
+            max_request_units: 8.0,
+            mean_request_units: 2.0,
             share_worth: 0.35,
             spare_worth: 0.08,
-            waste_price: 0.03,
+            waste_cost: 0.03,
         }
     }
 
--- a/crates/decisions/tests/cold_fleet/volumes.rs
+++ b/crates/decisions/tests/cold_fleet/volumes.rs
@@ -46,7 +46,8 @@
         let sum: f64 = (0..hosts).map(weight).sum();
         // A warm node serves in a window what a cold one can take, divided by the fraction that a node starts
         // with.
-        let rate = fleet.load * f64::from(fleet.nodes) * fleet.requests_per_window / fleet.cold_from / 2.0;
+        let rate =
+            fleet.load * f64::from(fleet.nodes) * fleet.requests_per_window / fleet.cold_start_fraction / 2.0;
         let rates = (0..hosts).map(|h| rate * weight(h) / sum).collect();
         Volumes { volumes, by_host, rates }
     }
--- a/crates/decisions/tests/cold_fleet/work.rs
+++ b/crates/decisions/tests/cold_fleet/work.rs
@@ -84,14 +84,14 @@
     pub fn record_arrival(&mut self, at: Micros, node: u32, units: f64) {
         if node >= self.nodes {
             let cold = &mut self.cold[(node - self.nodes) as usize];
-            cold.1.push((at, units / self.settings.mean_units));
+            cold.1.push((at, units / self.settings.mean_request_units));
         }
     }
 
     /// What the settings allow a node of this age in a window: N.
     fn capacity(&self, age: Micros) -> f64 {
         let warm = (age as f64 / self.settings.warm_after as f64).clamp(0.0, 1.0);
-        self.requests_per_window * (1.0 + (1.0 / self.settings.cold_from - 1.0) * warm)
+        self.requests_per_window * (1.0 + (1.0 / self.settings.cold_start_fraction - 1.0) * warm)
     }
 
     pub fn summary(mut self) -> Summary {
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -128,7 +128,7 @@
                 if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                     (self.ordered_key(a.request), a.outcome)
                 {
-                    self.paused_until.insert(key, now + self.settings.order_rest);
+                    self.paused_until.insert(key, now + self.settings.key_pause);
                 }
                 self.leave_key_order(a.request);
             }
@@ -185,10 +185,10 @@
         if request.shard.is_some_and(|s| s != entry.shard) {
             breaches.push("sent to a node without the data");
         }
-        if record.attempts.len() >= self.settings.most_attempts as usize {
+        if record.attempts.len() >= self.settings.max_attempts as usize {
             breaches.push("sent too often");
         }
-        if !self.settings.second_copies && record.attempts.iter().any(|a| a.outcome.is_none()) {
+        if !self.settings.hedging && record.attempts.iter().any(|a| a.outcome.is_none()) {
             breaches.push("2: two attempts at once");
         }
         for a in record.attempts.iter().filter(|a| !never_ran(&a.outcome)) {
@@ -217,7 +217,7 @@
             let window = self.settings.cold_window;
             let sum: f64 = sends.iter().filter(|s| s.0 > now - window).map(|s| s.1).sum();
             let age = (now - started) as f64 / self.settings.warm_after as f64;
-            let growth = 1.0 + (1.0 / self.settings.cold_from - 1.0) * age;
+            let growth = 1.0 + (1.0 / self.settings.cold_start_fraction - 1.0) * age;
             if sum > self.settings.cold_units / f64::from(self.settings.hosts) * growth + 1e-6 {
                 breaches.push("4: more than its part to a cold node");
             }
@@ -231,11 +231,11 @@
                 breaches.push("5: the key is paused");
             }
         }
-        if let (Some(budget), false) = (self.settings.budget, record.attempts.is_empty()) {
+        if let (Some(budget), false) = (self.settings.retry_budget, record.attempts.is_empty()) {
             self.retry_times.push(now);
             let retries = self.retry_times.iter().filter(|&&t| t > now - budget.window).count();
             let requests = self.request_times.iter().filter(|&&t| t > now - budget.window).count();
-            if retries as f64 > budget.free + budget.share * requests as f64 {
+            if retries as f64 > budget.base + budget.per_request * requests as f64 {
                 breaches.push("6: over the budget");
             }
         }
--- a/crates/decisions/tests/common/random_events.rs
+++ b/crates/decisions/tests/common/random_events.rs
@@ -34,16 +34,16 @@
     let limited = Plan { limit: 40.0, limit_burst: 64.0, limit_slack: 8.0, ..plan() };
     single.plans = vec![limited, Plan { reserve: 0.0, weight: 3.0, ..plan() }];
     single.hosts = 1;
-    single.budget = Some(RetryBudget { window: 5 * SECOND, free: 3.0, share: 0.15 });
+    single.retry_budget = Some(RetryBudget { window: 5 * SECOND, base: 3.0, per_request: 0.15 });
     let mut large_fleet = single.clone();
-    (large_fleet.hosts, large_fleet.index, large_fleet.budget) = (143, 17, None);
+    (large_fleet.hosts, large_fleet.index, large_fleet.retry_budget) = (143, 17, None);
     large_fleet.cold_units = 200.0;
     let mut copies = single.clone();
-    (copies.second_copies, copies.must_ask, copies.budget) = (true, true, None);
+    (copies.hedging, copies.needs_subscription, copies.retry_budget) = (true, true, None);
     copies.classes[1].idempotency = Idempotency::Keyed { scope: DedupScope::All, window: SECOND };
     let mut bare = settings();
     bare.classes = single.classes.clone();
-    (bare.advice, bare.cold_window, bare.order_rest, bare.most_attempts) = (false, 0, 0, 1);
+    (bare.retry_advice, bare.cold_window, bare.key_pause, bare.max_attempts) = (false, 0, 0, 1);
     bare.plans = vec![plan(), Plan { rate: 0.0, reserve: 0.0, weight: 0.0, ..plan() }];
     vec![("host", single), ("large_fleet", large_fleet), ("copies", copies), ("bare", bare)]
 }
--- a/crates/decisions/tests/crowd.rs
+++ b/crates/decisions/tests/crowd.rs
@@ -121,7 +121,7 @@
             let units: f64 = inside.map(|s| s.1).sum();
             // Its capacity at the start of the window, with the slowest warming that is promised.
             let warm = (first.0 as f64 / limits.warm_after as f64).min(1.0);
-            let capacity = cold_units * (1.0 + (1.0 / limits.cold_from - 1.0) * warm);
+            let capacity = cold_units * (1.0 + (1.0 / limits.cold_start_fraction - 1.0) * warm);
             assert!(units <= capacity + 1e-9, "{hosts} hosts: {units} of {capacity} at {}", first.0);
         }
     }
@@ -173,8 +173,12 @@
 #[test]
 fn extreme_numbers_stop_nothing() {
     let mut host_settings = settings();
-    (host_settings.hosts, host_settings.index, host_settings.plans[0].rate, host_settings.mean_units) =
-        (0, 9, 0.0, f64::NAN);
+    (
+        host_settings.hosts,
+        host_settings.index,
+        host_settings.plans[0].rate,
+        host_settings.mean_request_units,
+    ) = (0, 9, 0.0, f64::NAN);
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for (id, metered) in [(0, f64::NAN), (1, -5.0), (2, f64::INFINITY), (3, 1e300)] {
         host.submit(request(id));
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -63,7 +63,7 @@
 fn quick_errors_do_not_raise_the_bound() {
     let mut host_settings = settings();
     host_settings.plans[0].reserve = 1e6;
-    host_settings.most_attempts = 1;
+    host_settings.max_attempts = 1;
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     fill(&mut host, 0..40);
     host.advance(1_000);
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -33,7 +33,7 @@
 fn a_refusal_carries_advice_only_where_allowed() {
     for advice in [true, false] {
         let mut host_settings = settings();
-        host_settings.advice = advice;
+        host_settings.retry_advice = advice;
         let mut host = Host::new(host_settings);
         host.submit(request(1));
         host.advance(2 * SECOND);
@@ -109,7 +109,7 @@
 #[test]
 fn a_failed_node_list_request_keeps_the_list_and_is_retried() {
     let mut host_settings = settings();
-    host_settings.must_ask = true;
+    host_settings.needs_subscription = true;
     let mut host = Host::new(host_settings);
     let first = host.update_nodes(true, &[entry(0, 0)]);
     assert!(first.contains(&Action::Subscribe));
@@ -162,7 +162,7 @@
     let mut host_settings = settings();
     host_settings.classes[0].in_order = true;
     host_settings.classes[0].latency_target = 5 * SECOND;
-    host_settings.most_attempts = 1;
+    host_settings.max_attempts = 1;
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 1..4 {
         let mut r = request(id);
@@ -184,7 +184,7 @@
 #[test]
 fn retries_stay_within_the_budget() {
     let mut host_settings = settings();
-    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 2.0, share: 0.0 });
+    host_settings.retry_budget = Some(RetryBudget { window: 5 * SECOND, base: 2.0, per_request: 0.0 });
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 0..5 {
         host.submit(request(id));
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -105,8 +105,8 @@
 #[test]
 fn an_attempt_is_invalid_when_its_node_drains_or_restarts_and_is_sent_again() {
     // An attempt that was never sent uses nothing of the retry budget.
-    let budget = Some(RetryBudget { window: 5 * SECOND, free: 0.0, share: 0.0 });
-    let mut host = Host::with_attempt(Settings { budget, ..settings() });
+    let budget = Some(RetryBudget { window: 5 * SECOND, base: 0.0, per_request: 0.0 });
+    let mut host = Host::with_attempt(Settings { retry_budget: budget, ..settings() });
     host.list(NodeState::Draining, None);
     assert!(!host.is_valid(0));
     let actions = host.handle(ended(0, Outcome::NotSent));
@@ -133,7 +133,7 @@
     let window = 300_000;
     let mut host_settings = settings();
     host_settings.classes = vec![class(Idempotency::Keyed { scope: DedupScope::All, window })];
-    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 1.0, share: 0.0 });
+    host_settings.retry_budget = Some(RetryBudget { window: 5 * SECOND, base: 1.0, per_request: 0.0 });
     let mut host = Host::with_attempt(host_settings);
     host.now += 50_000;
     let actions = host.handle(ended(0, Outcome::Reset));
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -39,7 +39,7 @@
             if over.is_none() {
                 self.front.gate().done(id, bytes);
             }
-            let come_back = self.options.catalogue.settings.most_advice;
+            let come_back = self.options.catalogue.settings.max_retry_after;
             let refused = told(Answer::Refused { come_back }, &self.options.target.retry_delays);
             return self.answer(id, command.cid, refused);
         }
--- a/crates/gateway/src/returning.rs
+++ b/crates/gateway/src/returning.rs
@@ -116,14 +116,14 @@
             AdmissionOptions {
                 cold_units: s.cold_units,
                 cold_window: s.cold_window,
-                cold_from: s.cold_from,
+                cold_from: s.cold_start_fraction,
                 warm_after: s.warm_after,
                 gateways: s.hosts,
-                most_advice: s.most_advice.max(1),
+                most_advice: s.max_retry_after.max(1),
             },
             seed,
         );
-        let (warm_after, most_advice) = (s.warm_after, s.most_advice.max(1));
+        let (warm_after, most_advice) = (s.warm_after, s.max_retry_after.max(1));
         Ok(Returning {
             recovery,
             admission,
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -198,7 +198,7 @@
         }
     }
     let units: f64 = units?.parse().ok()?;
-    if !units.is_finite() || units <= 0.0 || units > settings.most_units.max(1.0) {
+    if !units.is_finite() || units <= 0.0 || units > settings.max_request_units.max(1.0) {
         return None;
     }
     let shard = match shard? {
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -122,7 +122,7 @@
         let rise = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
-            cancel: config.settings.cancel,
+            cancel: config.settings.cancellation,
             settings: config.settings.clone(),
             sizes,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
