--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -98,16 +98,16 @@
         let rid = |id: &RequestId| self.requests.get(id).map(|r| r.rid.as_str());
         let mut answered = None;
         let reply = match action {
-            Action::Send { request, node, patience } => {
+            Action::Send { request, node, timeout } => {
                 let Some(request) = self.requests.get_mut(request) else { return Ok(()) };
                 request.in_flight += 1;
                 let node = self.nodes[node.0 as usize].as_str();
-                Reply::SubmitTo { i, rid: &request.rid, node, patience_us: *patience }
+                Reply::SubmitTo { i, rid: &request.rid, node, patience_us: *timeout }
             }
-            Action::Refuse { request, come_back } => {
+            Action::Refuse { request, retry_after } => {
                 answered = Some(*request);
                 let Some(rid) = rid(request) else { return Ok(()) };
-                Reply::Busy { i, rid, retry_after_us: *come_back }
+                Reply::Busy { i, rid, retry_after_us: *retry_after }
             }
             Action::Fail { request } => {
                 answered = Some(*request);
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -154,7 +154,7 @@
                 let Some((node, request)) = self.lookup(m.i, &m.node, &m.rid) else {
                     return Ok(());
                 };
-                let event = Event::Started { request, attempt: m.n, node, latency: m.spent_us };
+                let event = Event::AnswerStarted { request, attempt: m.n, node, latency: m.spent_us };
                 self.deliver(m.i, now, event, reply)
             }
             "Answer" => self.on_answer(now, &parse(name, raw)?, reply),
@@ -169,7 +169,7 @@
 
     fn on_peers_known(&mut self, now: Micros, m: &PeersKnown, reply: &mut Vec<u8>) -> Result<(), String> {
         if m.how == "error" {
-            return self.deliver(m.i, now, Event::NodesFailed, reply);
+            return self.deliver(m.i, now, Event::NodeListFailed, reply);
         }
         let Some(ledger) = m.bank.and_then(|b| self.ledgers.get(&b)).cloned() else {
             return Err(format!("PeersKnown: no Ledger has the number {:?}", m.bank));
@@ -178,9 +178,9 @@
             return Ok(());
         };
         let entries = ledger.into_iter().map(|entry| instance.node_entry(entry)).collect();
-        let whole = m.how != "diff";
-        let remembered = m.how == "disk";
-        self.deliver(m.i, now, Event::Nodes { whole, remembered, entries }, reply)
+        let complete = m.how != "diff";
+        let from_cache = m.how == "disk";
+        self.deliver(m.i, now, Event::Nodes { complete, from_cache, entries }, reply)
     }
 
     fn on_ask(&mut self, now: Micros, m: Ask, reply: &mut Vec<u8>) -> Result<(), String> {
@@ -197,8 +197,8 @@
             shard: m.slot_no.filter(|&s| s >= 0.0).map(|s| ShardId(s as u32)),
             units: m.units.unwrap_or(1.0),
             hosts: m.hosts.map_or(0, |h| h as u32),
-            patience: m.ttl_us,
-            retry: m.is_retry.unwrap_or(false),
+            timeout: m.ttl_us,
+            is_retry: m.is_retry.unwrap_or(false),
             client: None,
         };
         instance.by_rid.insert(m.rid.clone(), id);
@@ -217,8 +217,8 @@
             outcome: parse_outcome(&m.outcome)?,
             settled: m.settled,
             latency: m.spent_us,
-            metered: m.metered.filter(|&x| x >= 1.0).map(|x| (x - 1.0) / 100.0),
-            elsewhere: m.delta.unwrap_or(0.0),
+            metered_use: m.metered.filter(|&x| x >= 1.0).map(|x| (x - 1.0) / 100.0),
+            units_elsewhere: m.delta.unwrap_or(0.0),
         };
         if let Some(tracked) = self.tracked_request(m.i, request) {
             tracked.in_flight = tracked.in_flight.saturating_sub(1);
--- a/crates/capacity/src/parts/site.rs
+++ b/crates/capacity/src/parts/site.rs
@@ -100,8 +100,8 @@
         shard: Some(ShardId(shard as u32)),
         units: 1.0,
         hosts: 3,
-        patience: PATIENCE,
-        retry: false,
+        timeout: PATIENCE,
+        is_retry: false,
         client: None,
     }
 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -106,8 +106,8 @@
                     shard: Some(part.shard),
                     units: self.catalogue.units(u64::from(part.blocks) * u64::from(volume.block_size)),
                     hosts: volume.hosts,
-                    patience,
-                    retry: operation.retry,
+                    timeout: patience,
+                    is_retry: operation.retry,
                     client: operation.client,
                 };
                 (part, request)
--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -128,10 +128,10 @@
         let now = self.state.now;
         let Some(open) = self.state.requests.get_mut(&answer.request) else { return false };
         let Some(attempt) = open.attempts.get_mut(answer.attempt as usize) else { return false };
-        if let (Some(metered), Some(volume)) =
-            (answer.metered, self.state.volumes.get_mut(&open.request.volume))
+        if let (Some(metered_use), Some(volume)) =
+            (answer.metered_use, self.state.volumes.get_mut(&open.request.volume))
         {
-            volume.metered_use = metered;
+            volume.metered_use = metered_use;
         }
         attempt.state = match answer.outcome {
             Outcome::Full => AttemptState::NeverRan,
@@ -173,8 +173,8 @@
         ) || open.uncertain_attempts().next().is_none();
         if retry_is_harmless {
             let advised = retry_after.max(class.latency_target / 4).min(self.settings.max_retry_after);
-            let come_back = if self.settings.retry_advice { advised } else { 0 };
-            self.state.actions.push(Action::Refuse { request: id, come_back });
+            let retry_after = if self.settings.retry_advice { advised } else { 0 };
+            self.state.actions.push(Action::Refuse { request: id, retry_after });
         } else {
             self.state.actions.push(Action::Fail { request: id });
         }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -75,9 +75,9 @@
     /// Number of hosts through which the volume's requests come.
     pub hosts: u32,
     /// How long the client waits for its answer, in microseconds.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// The client has marked it as a retry of an earlier request.
-    pub retry: bool,
+    pub is_retry: bool,
     /// The client, if it is known.
     pub client: Option<ClientId>,
 }
@@ -120,9 +120,9 @@
     pub latency: Micros,
     /// The volume's use over all hosts in the last complete metering period, as a fraction of the plan's
     /// rate.
-    pub metered: Option<f64>,
+    pub metered_use: Option<f64>,
     /// Units that this node served the volume through other hosts since its last answer to this host.
-    pub elsewhere: f64,
+    pub units_elsewhere: f64,
 }
 
 /// An input of the scheduler.
@@ -131,18 +131,18 @@
     /// The node list, or changes of it.
     Nodes {
         /// The list is complete: nodes that it does not contain are removed.
-        whole: bool,
+        complete: bool,
         /// The list comes from this host's own storage and may be out of date.
-        remembered: bool,
+        from_cache: bool,
         /// The entries.
         entries: Vec<NodeEntry>,
     },
     /// The request for the node list failed, or the subscription was lost.
-    NodesFailed,
+    NodeListFailed,
     /// A request from a client.
     Request(Request),
     /// The answer of a streamed attempt began to arrive.
-    Started {
+    AnswerStarted {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
@@ -156,43 +156,44 @@
     Answer(Answer),
     /// The client withdrew its request and needs no answer.
     Withdrawn(RequestId),
-    /// Less time is left for a request than `Request::patience` said, as its host shuts down before then.
-    Hastened {
+    /// Less time is left for a request than `Request::timeout` said, as its host shuts down before then.
+    DeadlineShortened {
         /// The request.
         request: RequestId,
         /// Time left from now, in microseconds.
-        patience: Micros,
+        timeout: Micros,
     },
     /// A sent attempt awaits its connection, or begins after that wait. Without this event an attempt begins
     /// when it is sent.
-    Waits {
+    ConnectionWait {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
         /// It awaits its connection; otherwise it begins now.
-        waits: bool,
+        waiting: bool,
     },
     /// The timer with this token is due.
     Timer(u64),
     /// A shard's retry tokens for this host, which replace those left from the previous event. A shard
     /// without any such event has no limit on retries.
-    Allowance {
+    RetryAllowance {
         /// The shard.
         shard: ShardId,
-        /// Number of tokens. Each allows one retry, or a first attempt of a request with [`Request::retry`].
-        further: u32,
+        /// Number of tokens. Each allows one retry, or a first attempt of a request with
+        /// [`Request::is_retry`].
+        tokens: u32,
         /// Advice for requests that are refused for want of a token, in microseconds; the settings cap it.
-        come_back: Micros,
+        retry_after: Micros,
     },
     /// How many requests of a shard may wait for a retry token while none is left. Requests beyond that are
-    /// refused at once, or at the next `Allowance` if they wait already. None may wait before this event;
-    /// requests of a class in order never do.
-    AwaitLimit {
+    /// refused at once, or at the next `RetryAllowance` if they wait already. None may wait before this
+    /// event; requests of a class in order never do.
+    TokenWaitLimit {
         /// The shard.
         shard: ShardId,
         /// Maximum number of waiting requests.
-        most: u32,
+        max_waiting: u32,
     },
 }
 
@@ -234,14 +235,14 @@
         /// The node to send it to.
         node: NodeId,
         /// Time-out of the attempt in microseconds; 0 means that it lasts until the client's time is over.
-        patience: Micros,
+        timeout: Micros,
     },
     /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
         /// When the client is advised to retry, in microseconds from now; 0 means no advice.
-        come_back: Micros,
+        retry_after: Micros,
     },
     /// Final answer: the request failed, and it is unknown whether it ran.
     Fail {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -28,14 +28,14 @@
 //! let node = NodeEntry {
 //!     node: NodeId(0), zone: 0, shard: ShardId(3), state: NodeState::On, started: None,
 //! };
-//! scheduler.handle(0, Event::Nodes { whole: true, remembered: true, entries: vec![node] }, &mut actions);
+//! scheduler.handle(0, Event::Nodes { complete: true, from_cache: true, entries: vec![node] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1), class: 0, plan: 0, volume: VolumeId(9), key: Some(KeyId(5)),
-//!     shard: Some(ShardId(3)), units: 2.0, hosts: 1, patience: 750_000, retry: false,
+//!     shard: Some(ShardId(3)), units: 2.0, hosts: 1, timeout: 750_000, is_retry: false,
 //!     client: None,
 //! };
 //! scheduler.handle(1_000, Event::Request(request), &mut actions);
-//! assert!(actions.contains(&Action::Send { request: RequestId(1), node: NodeId(0), patience: 0 }));
+//! assert!(actions.contains(&Action::Send { request: RequestId(1), node: NodeId(0), timeout: 0 }));
 //! ```
 
 #![forbid(unsafe_code)]
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -325,7 +325,7 @@
         if let Some(shard) = self.state.shards.get_mut(&node.shard) {
             shard.last_key = open.request.key;
         }
-        self.state.actions.push(Action::Send { request: id, node: node_id, patience: 0 });
+        self.state.actions.push(Action::Send { request: id, node: node_id, timeout: 0 });
     }
 }
 
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -64,14 +64,14 @@
 
     fn apply_event(&mut self, event: Event) {
         match event {
-            Event::Nodes { whole, entries, .. } => self.on_nodes(whole, entries),
-            Event::NodesFailed => {
+            Event::Nodes { complete, entries, .. } => self.on_nodes(complete, entries),
+            Event::NodeListFailed => {
                 let jitter = next_random(&mut self.state.random) % SUBSCRIBE_RETRY as u64;
                 let at = self.state.now + SUBSCRIBE_RETRY / 2 + jitter as Micros;
                 self.state.wakes.insert((at, Wake::Subscribe));
             }
             Event::Request(request) => self.on_request(request),
-            Event::Started { request, attempt, node, latency } => {
+            Event::AnswerStarted { request, attempt, node, latency } => {
                 self.record_outcome(node, (request, attempt), Outcome::Served, latency, false);
                 if let Some(open) = self.state.requests.get_mut(&request) {
                     open.streaming = true;
@@ -82,21 +82,23 @@
                 self.remember_unserved(id);
                 self.close_request(id);
             }
-            Event::Waits { request, attempt, waits } => {
-                self.state.set_awaiting_connection(request, attempt, waits);
+            Event::ConnectionWait { request, attempt, waiting } => {
+                self.state.set_awaiting_connection(request, attempt, waiting);
             }
-            Event::Hastened { request, patience } => {
+            Event::DeadlineShortened { request, timeout } => {
                 if let Some(open) = self.state.requests.get_mut(&request) {
-                    open.shorten_deadline(self.state.now + patience);
+                    open.shorten_deadline(self.state.now + timeout);
                     self.state.wakes.extend(open.wake_times().map(|at| (at, Wake::Request(request))));
                 }
             }
-            Event::Allowance { shard, further, come_back } => {
-                let tokens = RetryTokens { left: further, retry_after: come_back };
+            Event::RetryAllowance { shard, tokens, retry_after } => {
+                let tokens = RetryTokens { left: tokens, retry_after };
                 self.state.retry_tokens.insert(shard, tokens);
                 self.state.dirty_shards.insert(shard);
             }
-            Event::AwaitLimit { shard, most } => _ = self.state.token_wait_limits.insert(shard, most),
+            Event::TokenWaitLimit { shard, max_waiting } => {
+                _ = self.state.token_wait_limits.insert(shard, max_waiting)
+            }
             Event::Timer(token) => {
                 if token == self.state.timer_token {
                     self.state.timer_at = None;
@@ -124,8 +126,8 @@
         FleetView { now, load_targets, fresh_bound, prior_weight, prior_load, prior_latency }
     }
 
-    fn on_nodes(&mut self, whole: bool, entries: Vec<NodeEntry>) {
-        if whole {
+    fn on_nodes(&mut self, complete: bool, entries: Vec<NodeEntry>) {
+        if complete {
             self.state.nodes.values_mut().for_each(|n| n.state = NodeState::Gone);
             self.state.shards.values_mut().for_each(|s| s.nodes.clear());
         }
@@ -154,16 +156,16 @@
         let (Some(class), Some(_)) =
             (self.settings.classes.get(request.class), self.settings.plans.get(request.plan))
         else {
-            self.state.actions.push(Action::Refuse { request: id, come_back: 0 });
+            self.state.actions.push(Action::Refuse { request: id, retry_after: 0 });
             return;
         };
         let in_order = class.in_order && request.key.is_some();
         self.record_demand(&request);
         let mut open = self.open_request(request);
         self.assign_reserve(&mut open);
-        let (key, patience, wake_times) = (open.request.key, open.request.patience, open.wake_times());
+        let (key, timeout, wake_times) = (open.request.key, open.request.timeout, open.wake_times());
         self.state.requests.insert(id, open);
-        if patience <= 0 {
+        if timeout <= 0 {
             return self.finish_unserved(id, 0);
         }
         self.state.wakes.extend(wake_times.map(|at| (at, Wake::Request(id))));
@@ -212,13 +214,13 @@
     fn open_request(&mut self, request: Request) -> OpenRequest {
         let now = self.state.now;
         let latency_target = self.settings.classes[request.class].latency_target;
-        let (own_due, deadline) = (now + latency_target, now + request.patience);
+        let (own_due, deadline) = (now + latency_target, now + request.timeout);
         // Impatient clients retry a request many times. All tries share one worth, and the latency target
         // runs from the first try: a retry is due when the try before it was, so that it counts as late in
         // time. Requests that are not marked as retries are recognised too. The cost: if clients do not mark
         // retries, a request of the same fingerprint just after one that was not served is taken for its
         // retry.
-        let window = if request.retry { SWEEP_INTERVAL } else { UNMARKED_RETRY_WINDOW };
+        let window = if request.is_retry { SWEEP_INTERVAL } else { UNMARKED_RETRY_WINDOW };
         let unserved = self.state.recent_unserved.remove(&fingerprint(&request));
         let before = unserved.filter(|u| now - u.ended < window);
         // A retry after that due time used to be refused at once, and so were all its successors, on an idle
@@ -231,7 +233,7 @@
         // elsewhere. A request that is not sent in time for its answer to arrive by half of the client's time
         // is refused then; an eighth of that half is left for the answer's way back. The cost: a late chance
         // to be sent is lost.
-        let send_by = due.min(now + request.patience * 7 / 16);
+        let send_by = due.min(now + request.timeout * 7 / 16);
         let mut open = OpenRequest::new(request, RESERVE, first_due, due, deadline);
         open.late_retry = late.map(|u| u.ended);
         open.send_by = send_by;
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -45,7 +45,7 @@
     pub idempotency: Idempotency,
     /// Requests with the same key run one at a time, in order of arrival.
     pub in_order: bool,
-    /// Answers are streamed: `Event::Started` reports their begin.
+    /// Answers are streamed: `Event::AnswerStarted` reports their begin.
     pub stream: bool,
 }
 
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -26,7 +26,7 @@
 
     /// Its next attempt uses a retry token: it is a retry of this host, or the request is a client's retry.
     pub(crate) fn needs_retry_token(&self) -> bool {
-        self.tries() > 0 || self.request.retry
+        self.tries() > 0 || self.request.is_retry
     }
 }
 
--- a/crates/decisions/tests/actions.rs
+++ b/crates/decisions/tests/actions.rs
@@ -3,10 +3,24 @@
 
 mod common;
 use common::*;
+use decisions::Action;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 const STEPS: u64 = 4000;
 
+/// An action with its time, in the words with which the digests were recorded.
+fn digest_line(at: i64, action: &Action) -> String {
+    match action {
+        Action::Send { request, node, timeout } => {
+            format!("{at} Send {{ request: {request:?}, node: {node:?}, patience: {timeout:?} }}\n")
+        }
+        Action::Refuse { request, retry_after } => {
+            format!("{at} Refuse {{ request: {request:?}, come_back: {retry_after:?} }}\n")
+        }
+        action => format!("{at} {action:?}\n"),
+    }
+}
+
 /// Variant, seed, number of events, number of actions, and digest of the actions with their times.
 fn digests() -> Vec<(&'static str, u64, u64, usize, String)> {
     let mut all = Vec::new();
@@ -15,7 +29,7 @@
             let host = random_events::run_events(host_settings.clone(), seed, STEPS, |_, _| {});
             let mut hash = blake3::Hasher::new();
             for (at, action) in &host.log {
-                hash.update(format!("{at} {action:?}\n").as_bytes());
+                hash.update(digest_line(*at, action).as_bytes());
             }
             all.push((name, seed, host.events, host.log.len(), hash.finalize().to_hex()[..16].to_owned()));
         }
--- a/crates/decisions/tests/allowance.rs
+++ b/crates/decisions/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! `Event::Allowance`: retries use the shard's tokens, and those without one are refused.
+//! `Event::RetryAllowance`: retries use the shard's tokens, and those without one are refused.
 
 mod common;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 }
 
 fn retry(id: u64) -> Request {
-    Request { retry: true, ..request(id) }
+    Request { is_retry: true, ..request(id) }
 }
 
 #[test]
@@ -40,7 +40,7 @@
     assert_eq!(Host::count_sends(&host.submit(request(1))), 1, "a first attempt uses no token");
     assert_eq!(
         host.answer(1, 0, Outcome::Error),
-        [Action::Refuse { request: RequestId(1), come_back: ADVICE }]
+        [Action::Refuse { request: RequestId(1), retry_after: ADVICE }]
     );
     assert_eq!(Host::count_sends(&host.submit(request(2))), 1);
     assert_eq!(Host::count_sends(&host.answer(2, 0, Outcome::Served)), 0);
@@ -94,7 +94,7 @@
     let mut host = host();
     host.set_retry_tokens(0, 1, ADVICE);
     assert_eq!(Host::count_sends(&host.submit(retry(1))), 1);
-    assert_eq!(host.submit(retry(2))[..1], [Action::Refuse { request: RequestId(2), come_back: ADVICE }]);
+    assert_eq!(host.submit(retry(2))[..1], [Action::Refuse { request: RequestId(2), retry_after: ADVICE }]);
     assert_eq!(Host::count_sends(&host.submit(request(3))), 1);
     // New tokens let retries go on. They replace those left and are not added to them.
     host.set_retry_tokens(0, 2, ADVICE);
@@ -133,7 +133,7 @@
     host.submit(request(8));
     assert!(host.set_retry_tokens(0, 1, ADVICE).is_empty(), "one token is left, and the node is full");
     let actions = host.answer(1, 0, Outcome::Served);
-    let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { come_back: ADVICE, .. })).count();
+    let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { retry_after: ADVICE, .. })).count();
     assert_eq!(answers, 2, "{actions:?}");
     assert_eq!(host.sent(), [1, 2, 3, 4, 5, 8], "the request that needs no token has kept waiting");
     host.checker.assert_clean();
@@ -150,7 +150,7 @@
     host.submit(request(6));
     assert_eq!(
         host.set_retry_tokens(0, 0, ADVICE),
-        [Action::Refuse { request: RequestId(5), come_back: ADVICE }]
+        [Action::Refuse { request: RequestId(5), retry_after: ADVICE }]
     );
     assert_eq!(host.refused(6), None);
     host.answer(1, 0, Outcome::Served);
@@ -229,10 +229,10 @@
     let host = random_events::run_events(settings, seed, 600, |host, _| {
         if rng.below(every) == 0 {
             let (shard, tokens) = (rng.below(6) as u32, rng.below(5).saturating_sub(1) as u32);
-            let come_back = rng.below(2_000_000) as Micros;
+            let retry_after = rng.below(2_000_000) as Micros;
             allowances.push((host.log.len(), ShardId(shard), tokens));
             if notify {
-                host.set_retry_tokens(shard, tokens, come_back);
+                host.set_retry_tokens(shard, tokens, retry_after);
             }
         }
     });
@@ -270,7 +270,7 @@
         let host = random_events::run_events(host_settings, seed, 600, |host, _| {
             if rng.below(every) == 0 {
                 let (shard, tokens) = (rng.below(6) as u32, rng.below(5).saturating_sub(1) as u32);
-                host.handle(Event::AwaitLimit { shard: ShardId(shard), most: rng.below(8) as u32 });
+                host.handle(Event::TokenWaitLimit { shard: ShardId(shard), max_waiting: rng.below(8) as u32 });
                 allowances.push((host.log.len(), ShardId(shard), tokens));
                 host.set_retry_tokens(shard, tokens, rng.below(2_000_000) as Micros);
                 waited += host.scheduler.take_shortages().iter().map(|s| s.waiting).sum::<u32>();
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -1,4 +1,4 @@
-//! `Event::AwaitLimit`: requests that wait for a retry token while their shard has none left.
+//! `Event::TokenWaitLimit`: requests that wait for a retry token while their shard has none left.
 
 mod common;
 
@@ -23,11 +23,11 @@
 }
 
 fn set_limit(host: &mut Host, limit: u32) {
-    host.handle(Event::AwaitLimit { shard: ShardId(0), most: limit });
+    host.handle(Event::TokenWaitLimit { shard: ShardId(0), max_waiting: limit });
 }
 
 fn retry(id: u64) -> Request {
-    Request { retry: true, ..request(id) }
+    Request { is_retry: true, ..request(id) }
 }
 
 fn waiting(host: &mut Host) -> Vec<(ShardId, u32)> {
@@ -79,7 +79,7 @@
     let mut host = host_with_limit(4);
     (1..=4).for_each(|id| _ = host.submit(retry(id)));
     set_limit(&mut host, 1);
-    let refuse = |id| Action::Refuse { request: RequestId(id), come_back: LATER_ADVICE };
+    let refuse = |id| Action::Refuse { request: RequestId(id), retry_after: LATER_ADVICE };
     assert_eq!(host.set_retry_tokens(0, 0, LATER_ADVICE), [refuse(4), refuse(3), refuse(2)]);
     assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
 }
@@ -112,7 +112,7 @@
     host.advance(2000);
     assert_eq!(host.refused(1), Some(ADVICE), "its latency target is over");
     assert_eq!(waiting(&mut host), [(ShardId(0), 0)]);
-    host.submit(Request { patience: 80_000, ..retry(2) });
+    host.submit(Request { timeout: 80_000, ..retry(2) });
     host.advance(36_000);
     assert_eq!(host.refused(2), Some(ADVICE), "nearly half of its client's time is over");
     host.checker.assert_clean();
--- a/crates/decisions/tests/awaiting_ends.rs
+++ b/crates/decisions/tests/awaiting_ends.rs
@@ -11,12 +11,12 @@
     let mut host_settings = settings();
     host_settings.classes = vec![class];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
-    host.handle(Event::AwaitLimit { shard: ShardId(0), most: 64 });
+    host.handle(Event::TokenWaitLimit { shard: ShardId(0), max_waiting: 64 });
     host
 }
 
 fn retry(id: u64) -> Request {
-    Request { retry: true, ..request(id) }
+    Request { is_retry: true, ..request(id) }
 }
 
 /// Guards against a token that stays unused while requests wait for one: the first of two is withdrawn before
@@ -42,7 +42,7 @@
     let mut host_settings = settings();
     host_settings.plans = vec![Plan { limit: 1.0, limit_burst: 1.0, ..plan() }, plan()];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
-    host.handle(Event::AwaitLimit { shard: ShardId(0), most: 64 });
+    host.handle(Event::TokenWaitLimit { shard: ShardId(0), max_waiting: 64 });
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(retry(1));
     host.submit(Request { plan: 1, volume: VolumeId(2), ..retry(2) });
@@ -72,7 +72,7 @@
     let mut host = host_of(Class { stream: true, ..class(Idempotency::Safe) });
     host.set_retry_tokens(0, 0, ADVICE);
     host.submit(request(1));
-    host.handle(Event::Started { request: RequestId(1), attempt: 0, node: NodeId(0), latency: 1000 });
+    host.handle(Event::AnswerStarted { request: RequestId(1), attempt: 0, node: NodeId(0), latency: 1000 });
     host.answer(1, 0, Outcome::Reset);
     host.advance(20 * SECOND);
     assert!(host.refused(1).is_some() || host.failed(1), "it has no answer after twenty seconds");
--- a/crates/decisions/tests/causes.rs
+++ b/crates/decisions/tests/causes.rs
@@ -6,7 +6,7 @@
 use decisions::*;
 
 fn retry(id: u64) -> Request {
-    Request { retry: true, ..request(id) }
+    Request { is_retry: true, ..request(id) }
 }
 
 fn host(class: Class, nodes: &[NodeEntry]) -> Host {
@@ -29,7 +29,7 @@
     host.set_retry_tokens(0, 0, SECOND);
     host.submit(retry(1));
     assert_eq!(counted(&host), [(Cause::NoRight, 1)]);
-    host.handle(Event::AwaitLimit { shard: ShardId(0), most: 1 });
+    host.handle(Event::TokenWaitLimit { shard: ShardId(0), max_waiting: 1 });
     host.submit(retry(2));
     host.submit(retry(3));
     assert_eq!(counted(&host), [(Cause::NoRight, 2)], "the third is refused, the second waits");
@@ -68,7 +68,7 @@
     let mut host = host(Class { in_order: true, ..class(Idempotency::Safe) }, &[entry(0, 0)]);
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.submit(same_key(request(1)));
-    host.submit(same_key(Request { patience: SECOND / 10, ..request(2) }));
+    host.submit(same_key(Request { timeout: SECOND / 10, ..request(2) }));
     host.advance(SECOND / 8);
     assert_eq!(counted(&host), [(Cause::BehindItsKey, 1)]);
 }
@@ -87,13 +87,13 @@
     let mut host = safe_host();
     // The node answers at twice the latency target, so that the law admits nothing beyond the shares.
     for id in 1..=8 {
-        host.submit(Request { patience: 3 * SECOND, ..request(id) });
+        host.submit(Request { timeout: 3 * SECOND, ..request(id) });
     }
     host.advance(400_000);
     for id in 1..=4 {
         host.answer(id, 0, Outcome::Served);
     }
-    host.submit(Request { retry: true, ..request(5) });
+    host.submit(Request { is_retry: true, ..request(5) });
     let causes = counted(&host);
     assert!(causes.contains(&(Cause::NoSpareRoom, 1)), "{causes:?}");
 }
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -7,12 +7,12 @@
 fn checker_for(settings: Settings) -> Checker {
     let mut checker = Checker::new(settings, 0);
     let entries = vec![entry(0, 0), entry(1, 1)];
-    checker.event(0, &Event::Nodes { whole: true, remembered: false, entries });
+    checker.event(0, &Event::Nodes { complete: true, from_cache: false, entries });
     checker
 }
 
 fn send(id: u64) -> Action {
-    Action::Send { request: RequestId(id), node: NodeId(0), patience: 0 }
+    Action::Send { request: RequestId(id), node: NodeId(0), timeout: 0 }
 }
 
 fn answer(id: u64, attempt: u32, outcome: Outcome) -> Event {
@@ -23,8 +23,8 @@
         outcome,
         settled: false,
         latency: 1,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
 
@@ -58,7 +58,7 @@
     checker.event(2, &answer(1, 0, Outcome::Error));
     checker.action(3, &send(1));
     assert_breach(&checker, "2: sent again");
-    checker.action(4, &Action::Refuse { request: RequestId(1), come_back: 0 });
+    checker.action(4, &Action::Refuse { request: RequestId(1), retry_after: 0 });
     assert_breach(&checker, "2: refused");
 }
 
@@ -67,7 +67,7 @@
     let mut checker = checker_for(settings());
     let mut draining = entry(0, 0);
     draining.state = NodeState::Draining;
-    checker.event(0, &Event::Nodes { whole: false, remembered: false, entries: vec![draining] });
+    checker.event(0, &Event::Nodes { complete: false, from_cache: false, entries: vec![draining] });
     checker.event(0, &Event::Request(request(1)));
     checker.action(SECOND + 1, &send(1));
     assert_breach(&checker, "3:");
@@ -78,7 +78,7 @@
     let mut checker = checker_for(settings());
     let mut cold = entry(0, 0);
     cold.started = Some(0);
-    checker.event(0, &Event::Nodes { whole: false, remembered: false, entries: vec![cold] });
+    checker.event(0, &Event::Nodes { complete: false, from_cache: false, entries: vec![cold] });
     for id in 0..11 {
         checker.event(0, &Event::Request(request(id)));
         checker.action(0, &send(id));
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -287,9 +287,17 @@
                 if self.hosts[h].1 == process {
                     let (request, latency) = (RequestId(id), self.now - sent);
                     let settled = outcome == Outcome::Served;
-                    let (metered, elsewhere) = (None, 0.0);
-                    let answer =
-                        Answer { request, attempt, node, outcome, settled, latency, metered, elsewhere };
+                    let (metered_use, units_elsewhere) = (None, 0.0);
+                    let answer = Answer {
+                        request,
+                        attempt,
+                        node,
+                        outcome,
+                        settled,
+                        latency,
+                        metered_use,
+                        units_elsewhere,
+                    };
                     self.handle(h, Event::Answer(answer));
                 }
             }
@@ -298,7 +306,7 @@
                 self.received[h] = before.max(count);
                 let entries = self.entries(before, self.received[h]);
                 if self.hosts[h].0.is_some() && !entries.is_empty() {
-                    self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
+                    self.handle(h, Event::Nodes { complete: false, from_cache: false, entries });
                 }
             }
             SimEvent::Start(h) => {
@@ -307,7 +315,7 @@
                 self.hosts[h] = (Some(Scheduler::new(settings, u64::from(process))), process);
                 let old = (0..self.fleet.nodes).map(|n| entry(n, n, NodeState::On, None));
                 let entries: Vec<_> = old.chain(self.entries(0, self.received[h])).collect();
-                self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
+                self.handle(h, Event::Nodes { complete: false, from_cache: false, entries });
             }
             SimEvent::Timer(..) => {}
         }
@@ -338,8 +346,8 @@
             shard: Some(ShardId(client_request.shard)),
             units: client_request.units,
             hosts: self.volumes.hosts_of(client_request.volume),
-            patience: SECOND,
-            retry: client_request.is_retry,
+            timeout: SECOND,
+            is_retry: client_request.is_retry,
             client: None,
         };
         self.handle(h, Event::Request(request));
@@ -356,8 +364,8 @@
                     self.schedule(self.now + after, SimEvent::Timer(h, process, token));
                 }
                 Action::Send { request, node, .. } => self.send(h, process, request.0, node),
-                Action::Refuse { request, come_back } if !self.requests[&request.0].is_retry => {
-                    self.schedule(self.now + come_back.max(1000), SimEvent::Retry(h, request.0));
+                Action::Refuse { request, retry_after } if !self.requests[&request.0].is_retry => {
+                    self.schedule(self.now + retry_after.max(1000), SimEvent::Retry(h, request.0));
                 }
                 _ => {}
             }
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -68,7 +68,7 @@
 
     /// Whether the client marked the request as a retry.
     pub fn is_marked(&self, id: RequestId) -> bool {
-        self.records.get(&id).is_some_and(|record| record.request.retry)
+        self.records.get(&id).is_some_and(|record| record.request.is_retry)
     }
 
     fn breach(&mut self, now: Micros, what: &str) {
@@ -91,8 +91,8 @@
 
     pub fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Nodes { whole, entries, .. } => {
-                if *whole {
+            Event::Nodes { complete, entries, .. } => {
+                if *complete {
                     for (entry, changed) in self.nodes.values_mut() {
                         if !entries.iter().any(|e| e.node == entry.node) && entry.state != NodeState::Gone {
                             (entry.state, *changed) = (NodeState::Gone, now);
@@ -107,8 +107,8 @@
             }
             Event::Request(request) => {
                 self.request_times.push(now);
-                self.open.insert(request.id, now + request.patience);
-                let deadline = now + request.patience;
+                self.open.insert(request.id, now + request.timeout);
+                let deadline = now + request.timeout;
                 let record = Record { request: request.clone(), deadline, attempts: Vec::new() };
                 self.records.insert(request.id, record);
                 if let Some(key) = self.ordered_key(request.id) {
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -82,8 +82,8 @@
         shard: Some(ShardId(0)),
         units: 1.0,
         hosts: 1,
-        patience: SECOND,
-        retry: false,
+        timeout: SECOND,
+        is_retry: false,
         client: None,
     }
 }
@@ -157,12 +157,12 @@
         self.timers.len()
     }
 
-    pub fn update_nodes(&mut self, whole: bool, nodes: &[NodeEntry]) -> Vec<Action> {
-        self.handle(Event::Nodes { whole, remembered: false, entries: nodes.to_vec() })
+    pub fn update_nodes(&mut self, complete: bool, nodes: &[NodeEntry]) -> Vec<Action> {
+        self.handle(Event::Nodes { complete, from_cache: false, entries: nodes.to_vec() })
     }
 
-    pub fn set_retry_tokens(&mut self, shard: u32, further: u32, come_back: Micros) -> Vec<Action> {
-        self.handle(Event::Allowance { shard: ShardId(shard), further, come_back })
+    pub fn set_retry_tokens(&mut self, shard: u32, tokens: u32, retry_after: Micros) -> Vec<Action> {
+        self.handle(Event::RetryAllowance { shard: ShardId(shard), tokens, retry_after })
     }
 
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
@@ -181,8 +181,8 @@
             outcome,
             settled,
             latency: self.now - sent,
-            metered: None,
-            elsewhere: 0.0,
+            metered_use: None,
+            units_elsewhere: 0.0,
         }))
     }
 
@@ -202,7 +202,7 @@
     /// The advice of the refusal of a request, if it was refused.
     pub fn refused(&self, id: u64) -> Option<Micros> {
         self.log.iter().find_map(|(_, a)| match a {
-            Action::Refuse { request, come_back } if request.0 == id => Some(*come_back),
+            Action::Refuse { request, retry_after } if request.0 == id => Some(*retry_after),
             _ => None,
         })
     }
--- a/crates/decisions/tests/common/random_events.rs
+++ b/crates/decisions/tests/common/random_events.rs
@@ -56,8 +56,8 @@
     (r.volume, r.plan, r.hosts) = (VolumeId(volume), volume as usize % 2, volume as u32 % 3 + 1);
     r.key = (rng.below(10) > 0).then(|| KeyId(rng.below(30)));
     r.shard = (rng.below(5) > 0).then(|| ShardId(rng.below(6) as u32));
-    (r.units, r.patience) = (1.0 + rng.below(8) as f64, rng.below(2_000_000) as Micros);
-    r.retry = rng.below(6) == 0;
+    (r.units, r.timeout) = (1.0 + rng.below(8) as f64, rng.below(2_000_000) as Micros);
+    r.is_retry = rng.below(6) == 0;
     r
 }
 
@@ -104,7 +104,7 @@
         }
         let open = host.checker.open.contains_key(&request);
         if outcome == Outcome::Served && open && rng.below(8) == 0 {
-            host.handle(Event::Started { request, attempt, node, latency: host.now - sent });
+            host.handle(Event::AnswerStarted { request, attempt, node, latency: host.now - sent });
             host.advance(rng.below(3_000) as Micros);
         }
         if host.checker.in_flight.contains_key(&(request, attempt)) {
@@ -143,7 +143,7 @@
             host.handle(Event::Withdrawn(id));
         }
         if rng.below(300) == 0 {
-            host.handle(Event::NodesFailed);
+            host.handle(Event::NodeListFailed);
         }
     }
     host.advance(10 * SECOND);
--- a/crates/decisions/tests/crowd.rs
+++ b/crates/decisions/tests/crowd.rs
@@ -190,8 +190,8 @@
                 outcome: Outcome::Served,
                 settled: true,
                 latency: Micros::MAX / 8,
-                metered: Some(metered),
-                elsewhere: metered,
+                metered_use: Some(metered),
+                units_elsewhere: metered,
             }));
         }
         host.handle(Event::Withdrawn(RequestId(id)));
@@ -209,7 +209,7 @@
         let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
         for id in 0..400 {
             let mut r = request(id);
-            r.patience = 30 * SECOND;
+            r.timeout = 30 * SECOND;
             host.submit(r);
             host.advance(10_000);
         }
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -14,7 +14,7 @@
 fn fill(host: &mut Host, ids: std::ops::Range<u64>) {
     for id in ids {
         let mut r = request(id);
-        r.patience = 20 * SECOND;
+        r.timeout = 20 * SECOND;
         host.submit(r);
     }
 }
@@ -49,7 +49,7 @@
     }
     for id in 4..10 {
         let mut r = request(id);
-        (r.class, r.patience) = (1, 20 * SECOND);
+        (r.class, r.timeout) = (1, 20 * SECOND);
         host.submit(r);
     }
     assert_eq!(
--- a/crates/decisions/tests/list_change.rs
+++ b/crates/decisions/tests/list_change.rs
@@ -14,9 +14,14 @@
 }
 
 /// Counters of the work that a node list event causes.
-fn work_of_update(scheduler: &mut Scheduler, now: i64, whole: bool, entries: Vec<NodeEntry>) -> (u64, u64) {
+fn work_of_update(
+    scheduler: &mut Scheduler,
+    now: i64,
+    complete: bool,
+    entries: Vec<NodeEntry>,
+) -> (u64, u64) {
     let before = scheduler.work();
-    scheduler.handle(now, Event::Nodes { whole, remembered: false, entries }, &mut Vec::new());
+    scheduler.handle(now, Event::Nodes { complete, from_cache: false, entries }, &mut Vec::new());
     let after = scheduler.work();
     (after.0 - before.0, after.1 - before.1)
 }
@@ -50,8 +55,8 @@
         shard: Some(ShardId(2)),
         units: 1.0,
         hosts: 1,
-        patience: 5_000_000,
-        retry: false,
+        timeout: 5_000_000,
+        is_retry: false,
         client: None,
     };
     let mut actions = Vec::new();
@@ -60,7 +65,7 @@
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 0);
     scheduler.handle(
         60_010_000,
-        Event::Nodes { whole: false, remembered: false, entries: vec![node_entry(8, NodeState::On)] },
+        Event::Nodes { complete: false, from_cache: false, entries: vec![node_entry(8, NodeState::On)] },
         &mut actions,
     );
     let sent = actions.iter().find_map(|a| match a {
--- a/crates/decisions/tests/repeats.rs
+++ b/crates/decisions/tests/repeats.rs
@@ -19,7 +19,7 @@
 
 /// A marked retry of that first try.
 fn retry(id: u64) -> Request {
-    Request { key: request(0).key, retry: true, ..request(id) }
+    Request { key: request(0).key, is_retry: true, ..request(id) }
 }
 
 /// Lets a node answer all its attempts after the service time.
@@ -68,7 +68,7 @@
 fn a_refused_retry_does_not_renew_the_record_of_the_first_try() {
     let mut host = overloaded_node();
     assert!(host.refused(104).is_some(), "it waited until its latency target was over");
-    let again = |id: u64| Request { key: request(104).key, retry: true, ..request(id) };
+    let again = |id: u64| Request { key: request(104).key, is_retry: true, ..request(id) };
     let refused_at_once: Vec<bool> = (1000..1024)
         .map(|id| {
             host.advance(250_000);
@@ -93,7 +93,7 @@
         let of = |id: u64, client: u64| Request {
             key: request(104).key,
             client: Some(ClientId(client)),
-            retry: marked,
+            is_retry: marked,
             ..request(id)
         };
         // The refused request has no client id. Client 1 is refused as well, and then client 2 comes.
@@ -162,14 +162,14 @@
         for (_, key) in back {
             let id = node.next;
             node.next += 1;
-            node.host.submit(Request { key: Some(KeyId(key)), retry: true, ..request(id) });
+            node.host.submit(Request { key: Some(KeyId(key)), is_retry: true, ..request(id) });
             tries.insert(id, key);
         }
         for (_, action) in &node.host.log[seen..] {
-            if let Action::Refuse { request, come_back } = action
+            if let Action::Refuse { request, retry_after } = action
                 && let Some(key) = tries.remove(&request.0)
             {
-                pending.push((now + come_back, key));
+                pending.push((now + retry_after, key));
             }
         }
         seen = node.host.log.len();
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -20,9 +20,9 @@
 #[test]
 fn requests_without_remaining_time_are_answered_at_once() {
     let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
-    for (id, patience) in [(1, 0), (2, -5)] {
+    for (id, timeout) in [(1, 0), (2, -5)] {
         let mut r = request(id);
-        r.patience = patience;
+        r.timeout = timeout;
         host.submit(r);
         assert!(host.refused(id).is_some());
     }
@@ -113,7 +113,7 @@
     let mut host = Host::new(host_settings);
     let first = host.update_nodes(true, &[entry(0, 0)]);
     assert!(first.contains(&Action::Subscribe));
-    host.handle(Event::NodesFailed);
+    host.handle(Event::NodeListFailed);
     let before = host.log.len();
     host.submit(request(1));
     assert_eq!(host.sent(), [1]);
@@ -149,7 +149,7 @@
     cold.started = Some(49 * SECOND);
     host.update_nodes(true, &[cold]);
     let mut r = request(1);
-    r.patience = 5 * SECOND;
+    r.timeout = 5 * SECOND;
     host.submit(r);
     host.advance(SECOND);
     assert!(host.sent().is_empty());
@@ -167,7 +167,7 @@
     for id in 1..4 {
         let mut r = request(id);
         r.key = Some(KeyId(9));
-        r.patience = 10 * SECOND;
+        r.timeout = 10 * SECOND;
         host.submit(r);
     }
     assert_eq!(host.sent(), [1]);
@@ -238,8 +238,8 @@
         outcome: Outcome::Served,
         settled: true,
         latency: 1,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     }));
     let mut r = request(1);
     r.class = 9;
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -10,7 +10,7 @@
     NodeEntry { node: NodeId(0), zone: 0, shard: ShardId(0), state, started }
 }
 
-fn request_for(id: u64, patience: Micros) -> Request {
+fn request_for(id: u64, timeout: Micros) -> Request {
     Request {
         id: RequestId(id),
         class: 0,
@@ -20,8 +20,8 @@
         shard: Some(ShardId(0)),
         units: 1.0,
         hosts: 1,
-        patience,
-        retry: false,
+        timeout,
+        is_retry: false,
         client: None,
     }
 }
@@ -34,8 +34,8 @@
         outcome,
         settled: false,
         latency: 10_000,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
 
@@ -68,7 +68,7 @@
 
     fn list(&mut self, state: NodeState, started: Option<Micros>) -> Vec<Action> {
         let entries = vec![entry(state, started)];
-        self.handle(Event::Nodes { whole: true, remembered: false, entries })
+        self.handle(Event::Nodes { complete: true, from_cache: false, entries })
     }
 
     fn is_valid(&self, attempt: u32) -> bool {
@@ -150,7 +150,7 @@
 #[test]
 fn a_request_is_answered_by_its_shortened_deadline() {
     let mut host = Host::with_attempt(settings());
-    let actions = host.handle(Event::Hastened { request: RequestId(1), patience: 200_000 });
+    let actions = host.handle(Event::DeadlineShortened { request: RequestId(1), timeout: 200_000 });
     let mut timers = host.timers.clone();
     assert!(!is_answered(&actions));
     host.now += 200_000;
--- a/crates/decisions/tests/waiting.rs
+++ b/crates/decisions/tests/waiting.rs
@@ -107,7 +107,7 @@
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 0..400 {
         let mut r = request(id);
-        r.patience = 30 * SECOND;
+        r.timeout = 30 * SECOND;
         host.submit(r);
         host.advance(10_000);
     }
@@ -123,13 +123,13 @@
         host.submit(request(id));
     }
     let mut first = request(20);
-    (first.key, first.patience) = (Some(KeyId(99)), 150_000);
+    (first.key, first.timeout) = (Some(KeyId(99)), 150_000);
     host.submit(first);
     host.advance(160_000);
     assert!(host.refused(20).is_some(), "half of its client's time is over");
     host.advance(100_000);
     let mut retry = request(21);
-    (retry.key, retry.retry) = (Some(KeyId(99)), true);
+    (retry.key, retry.is_retry) = (Some(KeyId(99)), true);
     host.submit(request(5));
     host.submit(retry);
     assert!(
@@ -166,7 +166,7 @@
     // Four fill the initial bound and the fifth waits. Their clients wait for less than the latency target.
     for id in 0..5 {
         let mut short = request(id);
-        short.patience = 100_000;
+        short.timeout = 100_000;
         host.submit(short);
     }
     host.advance(43_000);
@@ -184,7 +184,7 @@
 fn a_request_that_reached_no_node_is_refused_by_half_of_its_clients_time() {
     let mut host = Host::with_nodes(settings(), &[entry(0, 0)]);
     let mut short = request(0);
-    short.patience = 100_000;
+    short.timeout = 100_000;
     host.submit(short);
     host.advance(20_000);
     host.answer(0, 0, Outcome::Unreachable);
@@ -193,7 +193,7 @@
     host.advance(24_000);
     assert!(host.refused(0).is_some());
     let mut late = request(1);
-    late.patience = 100_000;
+    late.timeout = 100_000;
     host.advance(SECOND);
     host.submit(late);
     host.advance(60_000);
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -105,7 +105,7 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         ask.id = id;
-        self.requests.insert(id, Held { payload, deadline: self.now + ask.patience, sent: 0 });
+        self.requests.insert(id, Held { payload, deadline: self.now + ask.timeout, sent: 0 });
         self.counts.taken += 1;
         self.events.push_back(Event::Request(ask));
         id
@@ -198,13 +198,13 @@
                 started: line.started,
             });
         }
-        self.events.push_back(Event::Nodes { whole, remembered, entries });
+        self.events.push_back(Event::Nodes { complete: whole, from_cache: remembered, entries });
     }
 
     /// The node list could not be had.
     pub fn nodes_failed(&mut self, now: Micros) {
         self.advance(now);
-        self.events.push_back(Event::NodesFailed);
+        self.events.push_back(Event::NodeListFailed);
     }
 
     /// The number of a node; a name that is new gets the next one.
@@ -283,8 +283,8 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, node, patience } => self.send(request, node, patience),
-            Action::Refuse { request, come_back } => {
+            Action::Send { request, node, timeout: patience } => self.send(request, node, patience),
+            Action::Refuse { request, retry_after: come_back } => {
                 self.finish(request, Verdict::Refused { come_back });
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
@@ -377,7 +377,7 @@
         outcome,
         settled,
         latency,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
--- a/crates/dispatch/src/dispatcher/rights.rs
+++ b/crates/dispatch/src/dispatcher/rights.rs
@@ -11,13 +11,13 @@
     /// or first ones of requests marked as repeats; the rest is refused with this advice, in microseconds.
     pub fn allow(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
         self.advance(now);
-        self.events.push_back(Event::Allowance { shard, further, come_back });
+        self.events.push_back(Event::RetryAllowance { shard, tokens: further, retry_after: come_back });
     }
 
     /// How many requests of a shard may wait for a right while it has none left; none until this is told.
     pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
-        self.events.push_back(Event::AwaitLimit { shard, most });
+        self.events.push_back(Event::TokenWaitLimit { shard, max_waiting: most });
     }
 
     /// The shards at which other requests wait for a right than were told of last.
--- a/crates/dispatch/src/dispatcher/waiting.rs
+++ b/crates/dispatch/src/dispatcher/waiting.rs
@@ -12,7 +12,7 @@
         if let Some(out) = self.out.get_mut(&attempt).filter(|o| !o.waits) {
             out.waits = true;
             let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: true });
+            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: true });
         }
     }
 
@@ -38,7 +38,7 @@
         let out = self.out.get_mut(&attempt)?;
         if std::mem::take(&mut out.waits) {
             let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: false });
+            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: false });
         }
         Some((out.node, out.due))
     }
@@ -54,7 +54,7 @@
                 held.deadline = by;
             }
             let patience = (by - self.now).max(0);
-            self.events.push_back(Event::Hastened { request, patience });
+            self.events.push_back(Event::DeadlineShortened { request, timeout: patience });
         }
         for (&attempt, out) in self.out.iter_mut().filter(|(_, o)| o.due > by) {
             self.due.remove(&(out.due, Due::Deadline(attempt)));
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -60,8 +60,8 @@
         shard: Some(ShardId(shard)),
         units: 1.0,
         hosts: 1,
-        patience: 400_000,
-        retry: false,
+        timeout: 400_000,
+        is_retry: false,
         client: None,
     }
 }
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -120,7 +120,7 @@
             state: NodeState::On,
             started: None,
         };
-        joined.give(Event::Nodes { whole: true, remembered: false, entries: (0..3).map(entry).collect() });
+        joined.give(Event::Nodes { complete: true, from_cache: false, entries: (0..3).map(entry).collect() });
         joined.hand(Input::Tick);
         joined.settle();
         joined.until(3 * SECOND);
@@ -163,11 +163,11 @@
         let Some(allowance) = self.allowances.next_untold() else { return false };
         let most = self.cap.may_wait(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
-            self.give(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
+            self.give(Event::TokenWaitLimit { shard: ShardId(allowance.shard), max_waiting: most });
         }
         self.left = allowance.further;
         let (shard, further, come_back) = (ShardId(allowance.shard), allowance.further, allowance.come_back);
-        self.give(Event::Allowance { shard, further, come_back });
+        self.give(Event::RetryAllowance { shard, tokens: further, retry_after: come_back });
         true
     }
 
@@ -186,7 +186,7 @@
                     self.answers.insert((self.now + 1_000, request, node));
                 }
             }
-            Action::Refuse { request, come_back } => {
+            Action::Refuse { request, retry_after: come_back } => {
                 self.wanted += u32::from(request.0 < FIRST && self.left == 0);
                 self.fates.get_mut(&request.0).unwrap().refused = Some((self.now, come_back));
             }
@@ -206,8 +206,8 @@
             shard: Some(ShardId(SHARD)),
             units: 1.0,
             hosts: 1,
-            patience: 2 * SECOND,
-            retry,
+            timeout: 2 * SECOND,
+            is_retry: retry,
             client: Some(ClientId(id)),
         }));
         self.settle();
@@ -235,8 +235,8 @@
                     outcome: Outcome::Served,
                     settled: true,
                     latency: 1_000,
-                    metered: None,
-                    elsewhere: 0.0,
+                    metered_use: None,
+                    units_elsewhere: 0.0,
                 }));
             } else {
                 self.hand(Input::Tick);
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -143,8 +143,8 @@
         shard,
         units,
         hosts,
-        patience: (stated - waited).max(0),
-        retry,
+        timeout: (stated - waited).max(0),
+        is_retry: retry,
         // A connection is no client: the platform's clients come again on another one.
         client: None,
     };
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -97,9 +97,9 @@
         self.ids.insert(ask.id.clone());
         let mut taken = ask.request.clone();
         if let Some(ends) = self.ends() {
-            taken.patience = taken.patience.min(ends - now).max(0);
+            taken.timeout = taken.timeout.min(ends - now).max(0);
         }
-        let until = now + taken.patience;
+        let until = now + taken.timeout;
         let request = self.dispatcher.take(
             now,
             taken,
