--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,47 +1,47 @@
-//! Attempts, and what is to be done about them.
+//! Attempt identifiers and the steps that the dispatcher asks its caller to carry out.
 
 use decisions::{Micros, NodeId, Outcome, RequestId};
 
-/// One attempt of a request at a node.
+/// Identifies one attempt to run a request on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its attempts count from 0.
+    /// Index of the attempt within the request, from 0.
     pub n: u32,
 }
 
-/// A final answer that is not *served*.
+/// The final answer of a request that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Turned away: it never ran, or running it again is harmless.
+    /// Refused: the request never ran, or running it again is harmless.
     Refused {
-        /// When the client should come back, in microseconds; 0: no advice.
+        /// Delay after which the client should retry, in microseconds; 0 if there is no advice.
         come_back: Micros,
     },
-    /// Failed: nothing is known about its effect.
+    /// Failed: the request may or may not have taken effect.
     Failed,
 }
 
-/// What the caller has to carry out, in this order.
+/// A step for the caller to carry out. Steps must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step<P> {
-    /// Send an attempt now, and report its end once. It ends here at `due` at the latest.
+    /// Send an attempt now and report its end once. The dispatcher stops waiting for it at `due`.
     Send {
-        /// Names the attempt.
+        /// The attempt to send.
         attempt: AttemptId,
-        /// Where to.
+        /// The node to send it to.
         node: NodeId,
-        /// When nobody waits for it any more.
+        /// Deadline of the attempt.
         due: Micros,
     },
-    /// Nobody waits for this attempt any more: it timed out here, or was cancelled, or never began, which is its outcome. Its end
+    /// The attempt is abandoned with this outcome: it timed out, was cancelled or was never sent. Its end
     /// need not be reported.
     Forget(AttemptId, NodeId, Outcome),
-    /// The one final answer of a request that was not served.
+    /// The final answer of a request that was not served, with the request's payload.
     Over(RequestId, P, Verdict),
-    /// The module wants the node list.
+    /// Subscribe to the node list for the scheduler.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: requests open, attempts out, what is due, and the nodes by number.
+//! The dispatcher: open requests, attempts in flight, due times, and nodes by number.
 
-mod rights;
-mod waiting;
+mod connection_wait;
+mod retry_tokens;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -13,63 +13,64 @@
 use crate::attempt::{AttemptId, Step, Verdict};
 use crate::node::{ListedNode, NodeView};
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Taken back by their client.
+    /// Requests withdrawn by their client.
     pub withdrawn: u64,
     /// Attempts sent.
     pub sent: u64,
-    /// Attempts after a request's first.
+    /// Attempts sent after a request's first: retries and hedges.
     pub further: u64,
-    /// Ends that came after nobody waited.
+    /// Attempt ends reported after the dispatcher had stopped waiting for them.
     pub late: u64,
 }
 
-/// A request that is owed an answer.
-struct Held<P> {
+/// A request without a final answer yet.
+struct OpenRequest<P> {
     payload: P,
     deadline: Micros,
-    /// Attempts sent.
-    sent: u32,
+    attempts_sent: u32,
 }
 
-struct Out {
+/// An attempt that was sent and has not ended.
+struct InFlight {
     node: NodeId,
-    sent: Micros,
+    sent_at: Micros,
     due: Micros,
-    /// It waits for a connection: nothing of it is written.
-    waits: bool,
+    /// The attempt waits for a connection; nothing of it is written yet.
+    awaits_connection: bool,
 }
 
-/// Of two at one time the earlier comes first: the module must know how an attempt ended before it gives up its request.
+/// What is due at a point in time. Of two items due at the same time the variant declared first is handled
+/// first: the scheduler must know how an attempt ended before it gives up the request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Deadline(AttemptId),
-    Timer(u64),
+    AttemptDeadline(AttemptId),
+    SchedulerTimer(u64),
 }
 
 /// The requests of one gateway.
 ///
-/// Call [`Dispatcher::step`] until it is empty after every other call that changes anything.
+/// After every other call that takes `&mut self`, call [`Dispatcher::step`] until it returns `None`.
 pub struct Dispatcher<P> {
     scheduler: Scheduler,
     now: Micros,
-    requests: HashMap<RequestId, Held<P>>,
-    /// Attempts sent for requests that the module does not know to be withdrawn yet.
-    withdrawn: HashMap<RequestId, u32>,
-    out: HashMap<AttemptId, Out>,
+    requests: HashMap<RequestId, OpenRequest<P>>,
+    /// Attempts sent for each withdrawn request of whose withdrawal the scheduler has not been notified yet.
+    withdrawn_attempts: HashMap<RequestId, u32>,
+    in_flight: HashMap<AttemptId, InFlight>,
     due: BTreeSet<(Micros, Due)>,
     next_request: u64,
-    names: HashMap<String, NodeId>,
+    node_ids: HashMap<String, NodeId>,
     nodes: BTreeMap<NodeId, NodeView>,
     next_node: u32,
     counts: Counts,
@@ -79,17 +80,17 @@
 }
 
 impl<P> Dispatcher<P> {
-    /// One that has taken nothing yet. `seed` feeds the module's randomness.
+    /// Creates a dispatcher without requests. `seed` initializes the scheduler's random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Dispatcher {
             scheduler: Scheduler::new(settings, seed),
             now: Micros::MIN,
             requests: HashMap::new(),
-            withdrawn: HashMap::new(),
-            out: HashMap::new(),
+            withdrawn_attempts: HashMap::new(),
+            in_flight: HashMap::new(),
             due: BTreeSet::new(),
             next_request: 0,
-            names: HashMap::new(),
+            node_ids: HashMap::new(),
             nodes: BTreeMap::new(),
             next_node: 0,
             counts: Counts::default(),
@@ -99,45 +100,48 @@
         }
     }
 
-    /// Takes a request; it is owed one final answer. The id in `ask` is given here.
-    pub fn take(&mut self, now: Micros, mut ask: Request, payload: P) -> RequestId {
+    /// Accepts a request, which gets exactly one final answer, and assigns its id; the id in `request` is
+    /// ignored.
+    pub fn take(&mut self, now: Micros, mut request: Request, payload: P) -> RequestId {
         self.advance(now);
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        ask.id = id;
-        self.requests.insert(id, Held { payload, deadline: self.now + ask.patience, sent: 0 });
+        request.id = id;
+        self.requests
+            .insert(id, OpenRequest { payload, deadline: self.now + request.patience, attempts_sent: 0 });
         self.counts.taken += 1;
-        self.events.push_back(Event::Request(ask));
+        self.events.push_back(Event::Request(request));
         id
     }
 
-    /// The payload of a request that is owed an answer.
+    /// Returns the payload of an open request.
     pub fn payload(&self, request: RequestId) -> Option<&P> {
-        self.requests.get(&request).map(|h| &h.payload)
+        self.requests.get(&request).map(|open| &open.payload)
     }
 
-    /// The same, to be changed.
+    /// Returns the payload of an open request for modification.
     pub fn payload_mut(&mut self, request: RequestId) -> Option<&mut P> {
-        self.requests.get_mut(&request).map(|h| &mut h.payload)
+        self.requests.get_mut(&request).map(|open| &mut open.payload)
     }
 
-    /// Whether an attempt is out.
+    /// Whether an attempt is in flight.
     pub fn is_out(&self, attempt: AttemptId) -> bool {
-        self.out.contains_key(&attempt)
+        self.in_flight.contains_key(&attempt)
     }
 
-    /// Nothing more is owed: no further attempt goes out. What is out stays out until it ends.
+    /// Withdraws a request: it gets no answer and no more attempts. Attempts in flight stay there until they
+    /// end.
     pub fn withdraw(&mut self, now: Micros, request: RequestId) -> Option<P> {
         self.advance(now);
-        let held = self.requests.remove(&request)?;
+        let open = self.requests.remove(&request)?;
         self.counts.withdrawn += 1;
-        self.withdrawn.insert(request, held.sent);
+        self.withdrawn_attempts.insert(request, open.attempts_sent);
         self.events.push_back(Event::Withdrawn(request));
-        Some(held.payload)
+        Some(open.payload)
     }
 
-    /// An attempt ended. `Some` if that was its request's one final answer: it is served. Ends that nobody waits for any
-    /// more are counted and passed over.
+    /// Reports the end of an attempt. Returns the payload if this serves the request, which is then its final
+    /// answer. The end of an attempt that is no longer in flight is counted as late and otherwise ignored.
     pub fn ended(
         &mut self,
         now: Micros,
@@ -146,18 +150,26 @@
         load: Option<u32>,
     ) -> Option<P> {
         self.advance(now);
-        let Some(out) = self.out.remove(&attempt) else {
+        let Some(in_flight) = self.in_flight.remove(&attempt) else {
             self.counts.late += 1;
             return None;
         };
-        self.due.remove(&(out.due, Due::Deadline(attempt)));
-        self.over(attempt, &out, outcome, load)
+        self.due.remove(&(in_flight.due, Due::AttemptDeadline(attempt)));
+        self.record_end(attempt, &in_flight, outcome, load)
     }
 
-    fn over(&mut self, attempt: AttemptId, out: &Out, outcome: Outcome, load: Option<u32>) -> Option<P> {
-        let latency = self.now - out.sent;
+    /// Records the end of an attempt that was taken out of `in_flight` and notifies the scheduler. Returns
+    /// the payload if the request is served.
+    fn record_end(
+        &mut self,
+        attempt: AttemptId,
+        in_flight: &InFlight,
+        outcome: Outcome,
+        load: Option<u32>,
+    ) -> Option<P> {
+        let latency = self.now - in_flight.sent_at;
         let served = outcome == Outcome::Served;
-        if let Some(view) = self.nodes.get_mut(&out.node) {
+        if let Some(view) = self.nodes.get_mut(&in_flight.node) {
             view.out -= 1;
             view.load = load.or(view.load);
             if served {
@@ -171,76 +183,79 @@
             }
         }
         let settled = served || !self.requests.contains_key(&attempt.request);
-        self.events.push_back(answer(attempt, out.node, outcome, settled, latency));
-        let held = if served { self.requests.remove(&attempt.request) } else { None };
-        self.counts.served += u64::from(held.is_some());
-        held.map(|h| h.payload)
+        self.events.push_back(answer_event(attempt, in_flight.node, outcome, settled, latency));
+        let open = if served { self.requests.remove(&attempt.request) } else { None };
+        self.counts.served += u64::from(open.is_some());
+        open.map(|open| open.payload)
     }
 
-    /// The node list: whole, or the lines that changed.
+    /// Applies the node list: the whole list, or only the entries that changed.
     pub fn nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
         self.advance(now);
         let mut entries = Vec::with_capacity(listed.len());
         if whole {
-            self.nodes.values_mut().for_each(|n| n.state = NodeState::Gone);
+            self.nodes.values_mut().for_each(|view| view.state = NodeState::Gone);
         }
-        for line in listed {
-            let node = self.node_id(&line.name);
+        for entry in listed {
+            let node = self.node_id(&entry.name);
             if let Some(view) = self.nodes.get_mut(&node) {
-                (view.zone, view.shard, view.state) = (line.zone, line.shard, line.state);
-                view.started = line.started;
+                (view.zone, view.shard, view.state) = (entry.zone, entry.shard, entry.state);
+                view.started = entry.started;
             }
             entries.push(NodeEntry {
                 node,
-                zone: line.zone,
-                shard: ShardId(line.shard),
-                state: line.state,
-                started: line.started,
+                zone: entry.zone,
+                shard: ShardId(entry.shard),
+                state: entry.state,
+                started: entry.started,
             });
         }
         self.events.push_back(Event::Nodes { whole, remembered, entries });
     }
 
-    /// The node list could not be had.
+    /// Notifies the scheduler that fetching the node list failed.
     pub fn nodes_failed(&mut self, now: Micros) {
         self.advance(now);
         self.events.push_back(Event::NodesFailed);
     }
 
-    /// The number of a node; a name that is new gets the next one.
+    /// Returns the number of a node. An unknown name is assigned the next number.
     pub fn node_id(&mut self, name: &str) -> NodeId {
-        if let Some(&id) = self.names.get(name) {
+        if let Some(&id) = self.node_ids.get(name) {
             return id;
         }
         let id = NodeId(self.next_node);
         self.next_node += 1;
-        self.names.insert(name.to_owned(), id);
+        self.node_ids.insert(name.to_owned(), id);
         self.nodes.insert(id, NodeView::new(name));
         id
     }
 
-    /// Forgets the nodes that are gone, have nothing out, and that the module has forgotten; which they are. Danger: where
-    /// every node is replaced by one with a new name, the tables grow for ever. Harm: none; one that comes back is new.
+    /// Removes the nodes that are gone, have no attempt in flight and are no longer known to the scheduler;
+    /// returns them. Without this the tables would grow without bound where nodes are replaced by nodes with
+    /// new names. The removal costs nothing: a node that comes back is treated as new.
     pub fn forget_gone(&mut self) -> Vec<NodeId> {
         let scheduler = &self.scheduler;
-        let over = |id: &NodeId, n: &NodeView| {
-            n.state == NodeState::Gone && n.out == 0 && scheduler.look(*id).is_none()
+        let is_removable = |id: &NodeId, view: &NodeView| {
+            view.state == NodeState::Gone && view.out == 0 && scheduler.look(*id).is_none()
         };
-        let gone: Vec<NodeId> = self.nodes.iter().filter(|(id, n)| over(id, n)).map(|(id, _)| *id).collect();
+        let gone: Vec<NodeId> =
+            self.nodes.iter().filter(|(id, view)| is_removable(id, view)).map(|(id, _)| *id).collect();
         for id in &gone {
             if let Some(view) = self.nodes.remove(id) {
-                self.names.remove(&view.name);
+                self.node_ids.remove(&view.name);
             }
         }
         gone
     }
 
-    /// When [`Dispatcher::tick`] is due next.
+    /// Returns the time at which [`Dispatcher::tick`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.first().map(|d| d.0)
+        self.due.first().map(|item| item.0)
     }
 
-    /// Handles the next thing that is due: a timer of the module's, or an attempt whose time is up. Whether there was one.
+    /// Handles the next due item: a timer of the scheduler, or an attempt whose deadline has passed. Returns
+    /// whether there was one.
     pub fn tick(&mut self, now: Micros) -> bool {
         self.advance(now);
         let Some(&(at, due)) = self.due.first() else { return false };
@@ -249,31 +264,33 @@
         }
         self.due.pop_first();
         match due {
-            Due::Timer(token) => self.events.push_back(Event::Timer(token)),
-            Due::Deadline(attempt) => {
-                if let Some(out) = self.out.remove(&attempt) {
-                    let outcome = if out.waits { Outcome::NotSent } else { Outcome::TimedOut };
-                    self.steps.push_back(Step::Forget(attempt, out.node, outcome));
-                    self.over(attempt, &out, outcome, None);
+            Due::SchedulerTimer(token) => self.events.push_back(Event::Timer(token)),
+            Due::AttemptDeadline(attempt) => {
+                if let Some(in_flight) = self.in_flight.remove(&attempt) {
+                    let outcome =
+                        if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::TimedOut };
+                    self.steps.push_back(Step::Forget(attempt, in_flight.node, outcome));
+                    self.record_end(attempt, &in_flight, outcome, None);
                 }
             }
         }
         true
     }
 
-    /// The next thing to carry out, until nothing is left. The module gets its events one by one.
+    /// Returns the next step for the caller to carry out, or `None` once nothing is left. The scheduler is
+    /// given one event at a time.
     pub fn step(&mut self) -> Option<Step<P>> {
         loop {
             if let Some(step) = self.steps.pop_front() {
                 return Some(step);
             }
             if let Some(action) = self.actions.pop_front() {
-                self.act(action);
+                self.apply(action);
                 continue;
             }
             let event = self.events.pop_front()?;
             if let Event::Withdrawn(request) = event {
-                self.withdrawn.remove(&request);
+                self.withdrawn_attempts.remove(&request);
             }
             let mut actions = Vec::new();
             self.scheduler.handle(self.now, event, &mut actions);
@@ -281,7 +298,7 @@
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Send { request, node, patience } => self.send(request, node, patience),
             Action::Refuse { request, come_back } => {
@@ -290,15 +307,16 @@
             Action::Fail { request } => self.finish(request, Verdict::Failed),
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { request, n: attempt };
-                if let Some(out) = self.out.remove(&id) {
-                    self.due.remove(&(out.due, Due::Deadline(id)));
-                    let outcome = if out.waits { Outcome::NotSent } else { Outcome::Cancelled };
-                    self.steps.push_back(Step::Forget(id, out.node, outcome));
-                    self.over(id, &out, outcome, None);
+                if let Some(in_flight) = self.in_flight.remove(&id) {
+                    self.due.remove(&(in_flight.due, Due::AttemptDeadline(id)));
+                    let outcome =
+                        if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::Cancelled };
+                    self.steps.push_back(Step::Forget(id, in_flight.node, outcome));
+                    self.record_end(id, &in_flight, outcome, None);
                 }
             }
             Action::SetTimer { after, token } => {
-                self.due.insert((self.now + after, Due::Timer(token)));
+                self.due.insert((self.now + after, Due::SchedulerTimer(token)));
             }
             Action::Subscribe => self.steps.push_back(Step::Subscribe),
             Action::Log(line) => self.steps.push_back(Step::Log(line)),
@@ -306,23 +324,23 @@
     }
 
     fn send(&mut self, request: RequestId, node: NodeId, patience: Micros) {
-        let Some(held) = self.requests.get_mut(&request) else {
-            // It was withdrawn meanwhile: this never goes out, and the module must learn so, or it would count the attempt
-            // as out for ever.
-            if let Some(n) = self.withdrawn.get_mut(&request) {
-                let attempt = AttemptId { request, n: *n };
-                *n += 1;
-                self.events.push_back(answer(attempt, node, Outcome::NotSent, true, 0));
+        let Some(open) = self.requests.get_mut(&request) else {
+            // The request was withdrawn in the meantime and the attempt is not sent. The scheduler must be
+            // notified, or it would count the attempt as in flight forever.
+            if let Some(attempts) = self.withdrawn_attempts.get_mut(&request) {
+                let attempt = AttemptId { request, n: *attempts };
+                *attempts += 1;
+                self.events.push_back(answer_event(attempt, node, Outcome::NotSent, true, 0));
             }
             return;
         };
-        let attempt = AttemptId { request, n: held.sent };
-        held.sent += 1;
+        let attempt = AttemptId { request, n: open.attempts_sent };
+        open.attempts_sent += 1;
         self.counts.sent += 1;
         self.counts.further += u64::from(attempt.n > 0);
-        let due = if patience > 0 { held.deadline.min(self.now + patience) } else { held.deadline };
-        self.out.insert(attempt, Out { node, sent: self.now, due, waits: false });
-        self.due.insert((due, Due::Deadline(attempt)));
+        let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
+        self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
+        self.due.insert((due, Due::AttemptDeadline(attempt)));
         if let Some(view) = self.nodes.get_mut(&node) {
             view.out += 1;
             view.sent += 1;
@@ -331,45 +349,46 @@
     }
 
     fn finish(&mut self, request: RequestId, verdict: Verdict) {
-        let Some(held) = self.requests.remove(&request) else { return };
+        let Some(open) = self.requests.remove(&request) else { return };
         match verdict {
             Verdict::Refused { .. } => self.counts.refused += 1,
             Verdict::Failed => self.counts.failed += 1,
         }
-        self.steps.push_back(Step::Over(request, held.payload, verdict));
+        self.steps.push_back(Step::Over(request, open.payload, verdict));
     }
 
-    /// What the module thinks of a node.
+    /// Returns the scheduler's view of a node.
     pub fn look(&self, node: NodeId) -> Option<NodeLook> {
         self.scheduler.look(node)
     }
 
-    /// Requests that are owed an answer.
+    /// Returns the number of open requests: those without a final answer.
     pub fn open(&self) -> usize {
         self.requests.len()
     }
 
-    /// The attempts out and their nodes, those of finished requests included.
+    /// Returns the attempts in flight and their nodes, including those of finished requests.
     pub fn out(&self) -> impl Iterator<Item = (AttemptId, NodeId)> {
-        self.out.iter().map(|(id, out)| (*id, out.node))
+        self.in_flight.iter().map(|(id, in_flight)| (*id, in_flight.node))
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The nodes known, by number.
+    /// Returns the known nodes by number.
     pub fn node_views(&self) -> &BTreeMap<NodeId, NodeView> {
         &self.nodes
     }
 
+    /// Advances the clock, which never goes back.
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 }
 
-fn answer(attempt: AttemptId, node: NodeId, outcome: Outcome, settled: bool, latency: Micros) -> Event {
+fn answer_event(attempt: AttemptId, node: NodeId, outcome: Outcome, settled: bool, latency: Micros) -> Event {
     Event::Answer(Answer {
         request: attempt.request,
         attempt: attempt.n,
--- a/crates/dispatch/src/dispatcher/rights.rs
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -1,4 +1,4 @@
-//! What shards bear of repeats, as the module is told, and what it tells of those that are refused or wait.
+//! Retry tokens: passes each shard's allowance to the scheduler and reports which shards run short.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,27 @@
 use super::Dispatcher;
 
 impl<P> Dispatcher<P> {
-    /// What a shard bears from now on beyond first attempts, in place of what was allowed before: so many further attempts,
-    /// or first ones of requests marked as repeats; the rest is refused with this advice, in microseconds.
+    /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does the first attempt of a
+    /// request that is marked as a client's retry. Without a token a request is refused with `come_back`, in
+    /// microseconds, as its advice.
     pub fn allow(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
         self.advance(now);
         self.events.push_back(Event::Allowance { shard, further, come_back });
     }
 
-    /// How many requests of a shard may wait for a right while it has none left; none until this is told.
+    /// Sets how many requests may wait for a retry token of a shard that has none left. The limit is 0 until
+    /// it is set.
     pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
         self.events.push_back(Event::AwaitLimit { shard, most });
     }
 
-    /// The shards at which other requests wait for a right than were told of last.
+    /// Returns the shards whose set of requests waiting for a retry token has changed since the last call.
     pub fn take_shortages(&mut self) -> Vec<Shortage> {
         self.scheduler.take_shortages()
     }
 
-    /// How many requests ended unserved since the start, by class and cause.
+    /// Returns the number of requests that ended unserved since the start, by class and cause.
     pub fn unserved(&self) -> &BTreeMap<(usize, Cause), u64> {
         self.scheduler.unserved()
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,8 +1,11 @@
-//! Requests under the decision module, without I/O: its timers, the attempts out, deadlines, and the one final answer.
+//! Request state around the scheduler of `decisions`, without I/O: timers, attempts in flight, deadlines and
+//! final answers.
 //!
-//! A [`Dispatcher`] owns the scheduler. Whoever speaks a protocol hands in a request with a payload that is opaque here,
-//! carries out each [`Step`] and reports how attempts [`Dispatcher::ended`]. It is not a protocol: it knows neither blocks
-//! nor HTTP nor sockets. It decides nothing: which node, when, how often, refused or failed is the module's.
+//! A [`Dispatcher`] owns the scheduler. A protocol implementation submits each request with a payload that
+//! the dispatcher does not interpret, carries out each [`Step`], and reports how attempts
+//! [ended](Dispatcher::ended). The dispatcher knows no protocol: no blocks, no HTTP, no sockets. It makes no
+//! decisions either: the scheduler chooses nodes, send times and the number of attempts, and decides whether
+//! a request is refused or failed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/dispatch/src/node.rs
+++ b/crates/dispatch/src/node.rs
@@ -1,48 +1,48 @@
-//! The nodes as they are listed and as they were seen.
+//! Nodes as the node list describes them, and what was observed of each.
 
 use decisions::{Micros, NodeState};
 
-/// A line of the node list.
+/// An entry of the node list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedNode {
-    /// Its name, which a restart keeps.
+    /// Name of the node, which stays the same across restarts.
     pub name: String,
-    /// Zone.
+    /// Zone that the node is in.
     pub zone: u32,
-    /// The shard it holds.
+    /// Shard that the node holds.
     pub shard: u32,
-    /// Whether it takes work.
+    /// Whether the node accepts requests.
     pub state: NodeState,
-    /// When it last started, on the clock of `now`; `None` if long ago.
+    /// Time of the last start, on the same clock as `now`; `None` if it was long ago.
     pub started: Option<Micros>,
 }
 
-/// What has been seen of a node.
+/// The dispatcher's observations of one node.
 #[derive(Clone, Debug)]
 pub struct NodeView {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Zone.
+    /// Zone that the node is in.
     pub zone: u32,
-    /// Shard.
+    /// Shard that the node holds.
     pub shard: u32,
-    /// As listed last.
+    /// State according to the latest node list.
     pub state: NodeState,
-    /// Start, as listed.
+    /// Time of the last start according to the node list.
     pub started: Option<Micros>,
-    /// Attempts out.
+    /// Attempts in flight.
     pub out: u32,
     /// Attempts sent.
     pub sent: u64,
     /// Attempts served.
     pub served: u64,
-    /// Attempts that ended in any other way.
+    /// Attempts that ended with any other outcome.
     pub unserved: u64,
-    /// Requests it held, as it reported last.
+    /// Number of requests held by the node, from its latest report.
     pub load: Option<u32>,
-    /// When it was last heard of.
+    /// Time of the latest response from the node.
     pub heard: Option<Micros>,
-    /// Latency of the last answer, in microseconds.
+    /// Latency of the latest served attempt, in microseconds.
     pub latency: Micros,
 }
 
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,4 +1,5 @@
-//! One final answer each, whatever the attempts do; and nothing kept of what is over.
+//! Every request gets exactly one final answer whatever happens to its attempts, and no state is kept of
+//! finished requests and removed nodes.
 
 use decisions::*;
 use dispatch::{AttemptId, Dispatcher, ListedNode, Step, Verdict};
@@ -50,7 +51,7 @@
     }
 }
 
-fn ask(class: usize, shard: u32) -> Request {
+fn request(class: usize, shard: u32) -> Request {
     Request {
         id: RequestId(0),
         class,
@@ -70,20 +71,20 @@
     ListedNode { name: name.into(), zone: 0, shard, state, started: None }
 }
 
-fn steps(d: &mut Dispatcher<u64>) -> Vec<Step<u64>> {
-    std::iter::from_fn(|| d.step()).collect()
+fn drain_steps(dispatcher: &mut Dispatcher<u64>) -> Vec<Step<u64>> {
+    std::iter::from_fn(|| dispatcher.step()).collect()
 }
 
 fn with_nodes(names: &[&str]) -> Dispatcher<u64> {
-    let mut d = Dispatcher::new(settings(), 7);
+    let mut dispatcher = Dispatcher::new(settings(), 7);
     let listed: Vec<ListedNode> =
         names.iter().enumerate().map(|(shard, n)| node(n, shard as u32, NodeState::On)).collect();
-    d.nodes(0, true, true, &listed);
-    steps(&mut d);
-    d
+    dispatcher.nodes(0, true, true, &listed);
+    drain_steps(&mut dispatcher);
+    dispatcher
 }
 
-fn sent(steps: &[Step<u64>]) -> Vec<AttemptId> {
+fn sent_attempts(steps: &[Step<u64>]) -> Vec<AttemptId> {
     let attempt = |s: &Step<u64>| match s {
         Step::Send { attempt, .. } => Some(*attempt),
         _ => None,
@@ -92,199 +93,202 @@
 }
 
 #[test]
-fn a_served_attempt_is_the_final_answer_and_comes_with_the_payload() {
-    let mut d = with_nodes(&["a"]);
-    d.take(1000, ask(0, 0), 42);
-    let out = sent(&steps(&mut d));
-    assert_eq!(out.len(), 1);
-    assert_eq!(d.ended(2000, out[0], Outcome::Served, Some(3)), Some(42));
-    assert!(sent(&steps(&mut d)).is_empty());
-    assert_eq!((d.open(), d.out().count()), (0, 0));
+fn served_attempt_returns_the_payload_and_finishes_the_request() {
+    let mut dispatcher = with_nodes(&["a"]);
+    dispatcher.take(1000, request(0, 0), 42);
+    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    assert_eq!(attempts.len(), 1);
+    assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Served, Some(3)), Some(42));
+    assert!(sent_attempts(&drain_steps(&mut dispatcher)).is_empty());
+    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
     assert_eq!(
-        d.node_views().values().map(|n| (n.out, n.served, n.load)).collect::<Vec<_>>(),
+        dispatcher.node_views().values().map(|n| (n.out, n.served, n.load)).collect::<Vec<_>>(),
         [(0, 1, Some(3))]
     );
 }
 
 #[test]
-fn an_allowance_reaches_the_module() {
-    let mut d = with_nodes(&["a"]);
-    d.allow(500, ShardId(0), 1, 300_000);
-    d.take(1000, ask(0, 0), 42);
-    let out = sent(&steps(&mut d));
-    d.ended(2000, out[0], Outcome::Error, None);
-    let again = sent(&steps(&mut d));
-    assert_eq!(again.len(), 1);
-    d.ended(3000, again[0], Outcome::Error, None);
-    let refused = Step::Over(out[0].request, 42, Verdict::Refused { come_back: 300_000 });
-    assert!(steps(&mut d).contains(&refused));
+fn retry_without_token_is_refused_with_the_allowance_advice() {
+    let mut dispatcher = with_nodes(&["a"]);
+    dispatcher.allow(500, ShardId(0), 1, 300_000);
+    dispatcher.take(1000, request(0, 0), 42);
+    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    dispatcher.ended(2000, attempts[0], Outcome::Error, None);
+    let retries = sent_attempts(&drain_steps(&mut dispatcher));
+    assert_eq!(retries.len(), 1);
+    dispatcher.ended(3000, retries[0], Outcome::Error, None);
+    let refused = Step::Over(attempts[0].request, 42, Verdict::Refused { come_back: 300_000 });
+    assert!(drain_steps(&mut dispatcher).contains(&refused));
 }
 
 #[test]
-fn a_deadline_ends_the_attempt_and_the_request_at_that_moment() {
-    let mut d = with_nodes(&["a"]);
-    d.take(1000, ask(1, 0), 42);
-    let out = sent(&steps(&mut d));
-    let due = 401_000;
-    let mut seen = Vec::new();
-    while let Some(at) = d.next_due().filter(|&at| at <= due) {
-        while d.tick(at) {
-            seen.extend(steps(&mut d).into_iter().map(|s| (at, s)));
+fn deadline_abandons_the_attempt_and_fails_the_request() {
+    let mut dispatcher = with_nodes(&["a"]);
+    dispatcher.take(1000, request(1, 0), 42);
+    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    let deadline = 401_000;
+    let mut seen_steps = Vec::new();
+    while let Some(at) = dispatcher.next_due().filter(|&at| at <= deadline) {
+        while dispatcher.tick(at) {
+            seen_steps.extend(drain_steps(&mut dispatcher).into_iter().map(|s| (at, s)));
         }
     }
-    let forgot = seen
-        .iter()
-        .any(|(at, s)| matches!(s, Step::Forget(a, _, Outcome::TimedOut) if *a == out[0]) && *at == due);
-    let failed = seen.iter().any(|(at, s)| matches!(s, Step::Over(_, 42, Verdict::Failed)) && *at == due);
-    assert!(forgot && failed, "{seen:?}");
-    assert_eq!(d.ended(due + 1, out[0], Outcome::Served, None), None);
-    assert_eq!((d.counts().late, d.counts().failed), (1, 1));
+    let abandoned = seen_steps.iter().any(|(at, s)| {
+        matches!(s, Step::Forget(a, _, Outcome::TimedOut) if *a == attempts[0]) && *at == deadline
+    });
+    let failed =
+        seen_steps.iter().any(|(at, s)| matches!(s, Step::Over(_, 42, Verdict::Failed)) && *at == deadline);
+    assert!(abandoned && failed, "{seen_steps:?}");
+    assert_eq!(dispatcher.ended(deadline + 1, attempts[0], Outcome::Served, None), None);
+    assert_eq!((dispatcher.counts().late, dispatcher.counts().failed), (1, 1));
 }
 
 #[test]
-fn what_the_module_wanted_to_send_for_a_withdrawn_request_never_goes_out() {
-    let mut d = with_nodes(&["a"]);
-    let request = d.take(1000, ask(0, 0), 42);
-    assert_eq!(d.withdraw(1000, request), Some(42));
-    assert!(sent(&steps(&mut d)).is_empty());
-    // Nor does the module count it as out: the node still takes as much as before.
-    let mut taken = 0;
+fn no_attempt_is_sent_for_a_withdrawn_request() {
+    let mut dispatcher = with_nodes(&["a"]);
+    let id = dispatcher.take(1000, request(0, 0), 42);
+    assert_eq!(dispatcher.withdraw(1000, id), Some(42));
+    assert!(sent_attempts(&drain_steps(&mut dispatcher)).is_empty());
+    // The scheduler must not count the attempt as in flight: the node still accepts as many requests as
+    // before.
+    let mut sent = 0;
     for _ in 0..4 {
-        d.take(1000, ask(0, 0), 1);
-        taken += sent(&steps(&mut d)).len();
+        dispatcher.take(1000, request(0, 0), 1);
+        sent += sent_attempts(&drain_steps(&mut dispatcher)).len();
     }
-    assert_eq!(taken, 4);
+    assert_eq!(sent, 4);
 }
 
 #[test]
-fn a_withdrawn_request_with_an_attempt_out_leaves_nothing_once_that_ends() {
-    let mut d = with_nodes(&["a"]);
-    let request = d.take(1000, ask(0, 0), 42);
-    let out = sent(&steps(&mut d));
-    d.withdraw(1500, request);
-    assert!(steps(&mut d).iter().all(|s| !matches!(s, Step::Over(..))));
-    assert_eq!(d.ended(2000, out[0], Outcome::Cancelled, None), None);
-    steps(&mut d);
-    assert_eq!((d.open(), d.out().count()), (0, 0));
+fn withdrawn_request_leaves_no_state_after_its_attempt_ends() {
+    let mut dispatcher = with_nodes(&["a"]);
+    let id = dispatcher.take(1000, request(0, 0), 42);
+    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    dispatcher.withdraw(1500, id);
+    assert!(drain_steps(&mut dispatcher).iter().all(|s| !matches!(s, Step::Over(..))));
+    assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Cancelled, None), None);
+    drain_steps(&mut dispatcher);
+    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
 }
 
 #[test]
-fn thousands_of_nodes_come_and_go_and_none_is_kept() {
-    let mut d = Dispatcher::new(settings(), 7);
+fn removed_nodes_are_not_kept() {
+    let mut dispatcher = Dispatcher::new(settings(), 7);
     let mut now = 0;
     for n in 0..3000u32 {
         now += 20_000;
-        d.nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
-        d.take(now, ask(0, n % 3), u64::from(n));
-        for attempt in sent(&steps(&mut d)) {
-            d.ended(now + 500, attempt, Outcome::Served, None);
+        dispatcher.nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
+        dispatcher.take(now, request(0, n % 3), u64::from(n));
+        for attempt in sent_attempts(&drain_steps(&mut dispatcher)) {
+            dispatcher.ended(now + 500, attempt, Outcome::Served, None);
         }
-        steps(&mut d);
+        drain_steps(&mut dispatcher);
         if n >= 3 {
-            d.nodes(now, false, false, &[node(&format!("n{}", n - 3), n % 3, NodeState::Gone)]);
-            steps(&mut d);
+            dispatcher.nodes(now, false, false, &[node(&format!("n{}", n - 3), n % 3, NodeState::Gone)]);
+            drain_steps(&mut dispatcher);
         }
-        while d.next_due().is_some_and(|at| at <= now) {
-            d.tick(now);
-            steps(&mut d);
+        while dispatcher.next_due().is_some_and(|at| at <= now) {
+            dispatcher.tick(now);
+            drain_steps(&mut dispatcher);
         }
-        d.forget_gone();
+        dispatcher.forget_gone();
     }
-    // The module keeps those it sent to for some seconds: 20 ms apart, some hundreds at most.
-    assert!(d.node_views().len() < 600, "{} nodes are kept", d.node_views().len());
+    // The scheduler keeps a node for some seconds after sending to it: at one node per 20 ms, some hundreds
+    // at most.
+    assert!(dispatcher.node_views().len() < 600, "{} nodes are still kept", dispatcher.node_views().len());
     for _ in 0..20 {
         now += 1_000_000;
-        while d.next_due().is_some_and(|at| at <= now) {
-            d.tick(now);
-            steps(&mut d);
+        while dispatcher.next_due().is_some_and(|at| at <= now) {
+            dispatcher.tick(now);
+            drain_steps(&mut dispatcher);
         }
     }
-    d.forget_gone();
-    assert_eq!(d.node_views().len(), 3);
-    assert_eq!((d.open(), d.out().count()), (0, 0));
+    dispatcher.forget_gone();
+    assert_eq!(dispatcher.node_views().len(), 3);
+    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
 }
 
 #[derive(Clone, Debug)]
-enum Act {
-    Take(usize, u32),
-    End(usize, usize),
+enum TestAction {
+    Submit(usize, u32),
+    EndAttempt(usize, usize),
     Withdraw(usize),
-    Pass(i64),
-    Nodes(u32, usize),
+    AdvanceClock(i64),
+    ChangeNode(u32, usize),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = TestAction> {
     prop_oneof![
-        4 => (0..2usize, 0..3u32).prop_map(|(c, s)| Act::Take(c, s)),
-        4 => (0..64usize, 0..5usize).prop_map(|(a, o)| Act::End(a, o)),
-        1 => (0..64usize).prop_map(Act::Withdraw),
-        2 => (0..200_000i64).prop_map(Act::Pass),
-        1 => (0..3u32, 0..3usize).prop_map(|(n, s)| Act::Nodes(n, s)),
+        4 => (0..2usize, 0..3u32).prop_map(|(c, s)| TestAction::Submit(c, s)),
+        4 => (0..64usize, 0..5usize).prop_map(|(a, o)| TestAction::EndAttempt(a, o)),
+        1 => (0..64usize).prop_map(TestAction::Withdraw),
+        2 => (0..200_000i64).prop_map(TestAction::AdvanceClock),
+        1 => (0..3u32, 0..3usize).prop_map(|(n, s)| TestAction::ChangeNode(n, s)),
     ]
 }
 
 proptest! {
     #[test]
-    fn every_request_is_answered_exactly_once(acts in prop::collection::vec(act(), 1..150)) {
-        const ENDS: [Outcome; 5] =
+    fn every_request_gets_exactly_one_final_answer(actions in prop::collection::vec(action(), 1..150)) {
+        const OUTCOMES: [Outcome; 5] =
             [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::Unreachable, Outcome::Reset];
         const STATES: [NodeState; 3] = [NodeState::On, NodeState::Draining, NodeState::Gone];
-        let mut d = with_nodes(&["a", "b", "c"]);
-        let (mut now, mut next) = (1000i64, 0u64);
+        let mut dispatcher = with_nodes(&["a", "b", "c"]);
+        let (mut now, mut next_payload) = (1000i64, 0u64);
         let mut open: Vec<(u64, RequestId)> = Vec::new();
-        let mut out: Vec<AttemptId> = Vec::new();
-        let settle = |d: &mut Dispatcher<u64>, open: &mut Vec<(u64, RequestId)>, out: &mut Vec<AttemptId>| {
-            for step in steps(d) {
+        let mut in_flight: Vec<AttemptId> = Vec::new();
+        let carry_out_steps = |dispatcher: &mut Dispatcher<u64>, open: &mut Vec<(u64, RequestId)>, in_flight: &mut Vec<AttemptId>| {
+            for step in drain_steps(dispatcher) {
                 match step {
-                    Step::Send { attempt, .. } => out.push(attempt),
-                    Step::Forget(attempt, ..) => out.retain(|a| *a != attempt),
+                    Step::Send { attempt, .. } => in_flight.push(attempt),
+                    Step::Forget(attempt, ..) => in_flight.retain(|a| *a != attempt),
                     Step::Over(_, payload, _) => {
-                        assert!(open.iter().any(|(p, _)| *p == payload), "{payload} is answered twice");
+                        assert!(open.iter().any(|(p, _)| *p == payload), "request {payload} got two final answers");
                         open.retain(|(p, _)| *p != payload);
                     }
                     Step::Subscribe | Step::Log(_) => {}
                 }
             }
         };
-        for act in acts {
-            match act {
-                Act::Take(class, shard) => {
-                    let id = d.take(now, ask(class, shard), next);
-                    open.push((next, id));
-                    next += 1;
+        for action in actions {
+            match action {
+                TestAction::Submit(class, shard) => {
+                    let id = dispatcher.take(now, request(class, shard), next_payload);
+                    open.push((next_payload, id));
+                    next_payload += 1;
                 }
-                Act::End(which, how) if !out.is_empty() => {
-                    let attempt = out.remove(which % out.len());
-                    if let Some(payload) = d.ended(now, attempt, ENDS[how], None) {
+                TestAction::EndAttempt(index, outcome) if !in_flight.is_empty() => {
+                    let attempt = in_flight.remove(index % in_flight.len());
+                    if let Some(payload) = dispatcher.ended(now, attempt, OUTCOMES[outcome], None) {
                         prop_assert!(open.iter().any(|(p, _)| *p == payload));
                         open.retain(|(p, _)| *p != payload);
                     }
                 }
-                Act::Withdraw(which) if !open.is_empty() => {
-                    let (payload, id) = open.remove(which % open.len());
-                    prop_assert_eq!(d.withdraw(now, id), Some(payload));
+                TestAction::Withdraw(index) if !open.is_empty() => {
+                    let (payload, id) = open.remove(index % open.len());
+                    prop_assert_eq!(dispatcher.withdraw(now, id), Some(payload));
                 }
-                Act::Pass(span) => {
-                    now += span;
-                    while d.tick(now) {
-                        settle(&mut d, &mut open, &mut out);
+                TestAction::AdvanceClock(duration) => {
+                    now += duration;
+                    while dispatcher.tick(now) {
+                        carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
                     }
                 }
-                Act::Nodes(n, state) => {
+                TestAction::ChangeNode(n, state) => {
                     let name = ["a", "b", "c"][n as usize];
-                    d.nodes(now, false, false, &[node(name, n, STATES[state])]);
+                    dispatcher.nodes(now, false, false, &[node(name, n, STATES[state])]);
                 }
                 _ => {}
             }
-            settle(&mut d, &mut open, &mut out);
-            prop_assert_eq!(d.open(), open.len());
-            prop_assert_eq!(d.out().count(), out.len());
+            carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
+            prop_assert_eq!(dispatcher.open(), open.len());
+            prop_assert_eq!(dispatcher.out().count(), in_flight.len());
         }
         now += 1_000_000;
-        while d.tick(now) {
-            settle(&mut d, &mut open, &mut out);
+        while dispatcher.tick(now) {
+            carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
         }
-        prop_assert!(open.is_empty(), "never answered: {open:?}");
-        prop_assert!(out.is_empty());
+        prop_assert!(open.is_empty(), "requests without a final answer: {open:?}");
+        prop_assert!(in_flight.is_empty());
     }
 }
