--- a/crates/core/benches/core.rs
+++ b/crates/core/benches/core.rs
@@ -1,4 +1,4 @@
-//! What the core and the module cost for one operation that is sent and served at once.
+//! Cost in the core and the scheduler of one operation that is sent and served at once.
 
 use bytes::Bytes;
 use criterion::{Criterion, criterion_group, criterion_main};
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,60 +1,71 @@
-//! The one final answer of each operation.
+//! Final answers of operations.
 
 use bytes::BytesMut;
 use decisions::{Group, Repeats};
 use dispatch::Verdict;
 
 use crate::catalogue::Catalogue;
-use crate::core::{Core, Open, PieceState};
+use crate::core::{Core, OpenOperation, PieceState};
 use crate::effect::Effect;
 use crate::operation::{Answer, Opcode, Ticket};
+use crate::retry_demand::Wanted;
 use crate::views::EndedView;
-use crate::wanted::Wanted;
 
-/// Operations that ended unserved and are kept for people.
-const ENDED_KEPT: usize = 200;
+/// Number of operations that ended unserved to keep for the status page.
+const MAX_UNSERVED_VIEWS: usize = 200;
 
 impl Core {
-    /// The module ended a request unserved: the whole operation ends with it. Danger: a write of several parts of
-    /// which one went through must not be called refused; it is only where repeating all of it is harmless.
-    pub(crate) fn end(&mut self, ticket: Ticket, index: usize, verdict: Verdict, effects: &mut Vec<Effect>) {
+    /// Ends an operation of which one request ended unserved. The operation is refused only if the client may
+    /// safely retry all of it: a write of which another part was carried out must not be reported as refused.
+    pub(crate) fn end_unserved(
+        &mut self,
+        ticket: Ticket,
+        index: usize,
+        verdict: Verdict,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
-        open.pieces[index].state = PieceState::Over;
+        open.pieces[index].state = PieceState::Unserved;
         let Some(open) = self.open.get(&ticket) else { return };
         let answer = match verdict {
-            Verdict::Refused { come_back } if self.repeat_is_harmless(open) => Answer::Refused { come_back },
+            Verdict::Refused { come_back } if self.retry_is_safe(open) => Answer::Refused { come_back },
             _ => Answer::Failed,
         };
         let piece = &open.pieces[index];
-        if piece.sent > 0 || open.operation.retry {
+        if piece.attempts_sent > 0 || open.operation.retry {
             let Catalogue { settings, rules, .. } = &self.catalogue;
             let plan = self.catalogue.volume(open.operation.nsid).map_or(0, |v| v.plan);
-            self.wants.ended(Wanted {
+            self.retry_demands.record_unserved(Wanted {
                 shard: piece.part.shard,
                 worth: settings.classes[open.class].worth * settings.plans[plan].price,
-                left: open.taken + rules[open.class].patience - self.now,
+                left: open.accepted_at + rules[open.class].patience - self.now,
             });
         }
         self.count_unserved(ticket, &answer);
-        self.drop_operation(ticket);
+        self.remove_operation(ticket);
         effects.push(Effect::Answer(ticket, answer));
     }
 
-    /// Whether the client may repeat the whole operation without a second effect: nothing of it can have run, or nodes
-    /// discard the repeat. Danger: a client that sets no token repeats under another one, which no node can recognise;
-    /// once any part of its write may have run it is not told that a repeat is safe, whatever the class's group. Also
-    /// covers hosts of other makers, which know of no tokens. Harm: more failures for them, fewer refusals.
-    pub(crate) fn repeat_is_harmless(&self, open: &Open) -> bool {
+    /// Whether the client may retry the whole operation without a second effect: no part can have run, or the
+    /// nodes discard duplicates.
+    ///
+    /// A client that sets no token, such as a host by another vendor that knows nothing of tokens, retries
+    /// under a different generated token, which no node recognizes as a duplicate. Once any part of such a
+    /// client's write may have run, a retry is not safe, whatever the class's group. These clients therefore
+    /// see more failures and fewer refusals.
+    pub(crate) fn retry_is_safe(&self, open: &OpenOperation) -> bool {
         let repeats = self.catalogue.settings.classes[open.class].repeats;
-        let known = open.named && matches!(repeats, Repeats::Keyed { group: Group::All, .. });
-        let untouched = open.pieces.iter().all(|p| p.doubt == 0);
-        untouched || known || open.operation.opcode != Opcode::Write || repeats == Repeats::Safe
+        let is_deduplicated =
+            open.has_client_token && matches!(repeats, Repeats::Keyed { group: Group::All, .. });
+        let never_ran = open.pieces.iter().all(|piece| piece.attempts_possibly_run == 0);
+        never_ran || is_deduplicated || open.operation.opcode != Opcode::Write || repeats == Repeats::Safe
     }
 
+    /// Counts an operation that ended unserved and keeps a view of it.
     pub(crate) fn count_unserved(&mut self, ticket: Ticket, answer: &Answer) {
         let Some(open) = self.open.get(&ticket) else { return };
         let failed = u64::from(*answer == Answer::Failed);
-        let ended = EndedView {
+        let view = EndedView {
             at: self.now,
             ticket,
             nsid: open.operation.nsid,
@@ -64,31 +75,31 @@
                 Answer::Refused { come_back } => Some(*come_back),
                 _ => None,
             },
-            age: self.now - open.taken,
-            attempts: open.pieces.iter().map(|p| p.sent).sum(),
-            last: open.last,
+            age: self.now - open.accepted_at,
+            attempts: open.pieces.iter().map(|piece| piece.attempts_sent).sum(),
+            last: open.last_outcome,
         };
-        if let Some(view) = self.volumes.get_mut(&ended.nsid) {
-            view.failed += failed;
-            view.refused += 1 - failed;
+        if let Some(volume) = self.volume_views.get_mut(&view.nsid) {
+            volume.failed += failed;
+            volume.refused += 1 - failed;
         }
         self.tally.failed += failed;
         self.tally.refused += 1 - failed;
-        *self.reasons.entry(ended.reason()).or_default() += 1;
-        self.ended.push_back(ended);
-        if self.ended.len() > ENDED_KEPT {
-            self.ended.pop_front();
+        *self.reasons.entry(view.reason()).or_default() += 1;
+        self.unserved.push_back(view);
+        if self.unserved.len() > MAX_UNSERVED_VIEWS {
+            self.unserved.pop_front();
         }
     }
 
-    /// Answers an operation of which all parts are served.
-    pub(crate) fn answer_if_whole(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) {
+    /// Answers an operation once all of its parts are served.
+    pub(crate) fn answer_if_complete(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) {
         let Some(open) = self.open.get(&ticket) else { return };
-        if open.pieces.iter().any(|p| !matches!(p.state, PieceState::Served(_))) {
+        if open.pieces.iter().any(|piece| !matches!(piece.state, PieceState::Served(_))) {
             return;
         }
         let Some(open) = self.open.remove(&ticket) else { return };
-        let mut parts = open.pieces.into_iter().filter_map(|p| match p.state {
+        let mut parts = open.pieces.into_iter().filter_map(|piece| match piece.state {
             PieceState::Served(data) => Some(data),
             _ => None,
         });
@@ -96,12 +107,12 @@
         let data = match parts.next() {
             None => first,
             Some(second) => {
-                let mut whole = BytesMut::from(&first[..]);
-                std::iter::once(second).chain(parts).for_each(|p| whole.extend_from_slice(&p));
-                whole.freeze()
+                let mut joined = BytesMut::from(&first[..]);
+                std::iter::once(second).chain(parts).for_each(|part| joined.extend_from_slice(&part));
+                joined.freeze()
             }
         };
-        if let Some(view) = self.volumes.get_mut(&open.operation.nsid) {
+        if let Some(view) = self.volume_views.get_mut(&open.operation.nsid) {
             view.served += 1;
             view.open -= 1;
         }
--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Volumes, their extents on shards, and the classes that operations fall into.
+//! Volumes, the placement of their extents on shards, and the classification of operations.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,11 @@
 
 use crate::operation::Opcode;
 
-/// A volume: a range of blocks cut into extents of one length, dealt to shards in turn.
+/// A volume: a range of blocks divided into extents of equal length, which are assigned to shards
+/// round-robin.
 #[derive(Clone, Debug)]
 pub struct Volume {
-    /// Its name, for people.
+    /// Display name.
     pub name: String,
     /// Namespace identifier, from 1.
     pub nsid: u32,
@@ -17,9 +18,9 @@
     pub blocks: u64,
     /// Block size, in bytes.
     pub block_size: u32,
-    /// Index of its plan.
+    /// Index of its plan in the settings.
     pub plan: usize,
-    /// Gateways through which its requests come.
+    /// Number of gateways through which its requests arrive.
     pub hosts: u32,
     /// Length of an extent, in blocks.
     pub extent_blocks: u64,
@@ -27,61 +28,62 @@
     pub shards: Vec<ShardId>,
 }
 
-/// Which operations fall into a class, and how long their client waits. Rules are tried in order.
+/// Selects the operations of a class and sets how long their client waits. The first rule that matches
+/// applies.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// Name of the class, for people.
+    /// Display name of the class.
     pub name: String,
-    /// What the operations do.
+    /// Kind of operation.
     pub opcode: Opcode,
-    /// The most bytes of one, if there is such a limit.
+    /// Largest operation that the rule matches, in bytes; no limit if `None`.
     pub max_bytes: Option<u64>,
-    /// How long a client waits, in microseconds.
+    /// Time that a client waits for an answer, in microseconds.
     pub patience: Micros,
 }
 
-/// A piece of an operation that lies on one shard.
+/// The part of an operation that lies on one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Where it lies.
+    /// Shard that the part lies on.
     pub shard: ShardId,
     /// First block.
     pub slba: u64,
-    /// Blocks; 0 for a flush.
+    /// Number of blocks; 0 for a flush.
     pub blocks: u32,
 }
 
-/// What does not fit together in a catalogue.
+/// Why a catalogue is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CatalogueError {
-    /// No class takes an operation of any length.
-    #[error("no class without a largest size takes '{}'; add one", .0.word())]
+    /// No class accepts operations of every length.
+    #[error("no class without a size limit accepts '{}' operations; add one", .0.word())]
     NoClass(Opcode),
-    /// A volume names a plan that is not there.
-    #[error("volume '{0}' names a plan that is not there")]
+    /// A volume refers to a plan that does not exist.
+    #[error("volume '{0}' refers to a plan that does not exist")]
     NoPlan(String),
-    /// A volume without shards, blocks or extents.
+    /// A volume has no shards, no blocks or no extent length.
     #[error("volume '{0}' needs blocks, an extent length and at least one shard")]
     EmptyVolume(String),
-    /// Two volumes with one identifier.
+    /// Two volumes have the same namespace identifier.
     #[error("two volumes have the namespace identifier {0}")]
     SameNsid(u32),
-    /// Rules and classes differ in number.
+    /// The numbers of class rules and classes differ.
     #[error("{rules} class rules for {classes} classes")]
     Uneven {
-        /// Rules.
+        /// Number of class rules.
         rules: usize,
-        /// Classes in the module's settings.
+        /// Number of classes in the scheduler's settings.
         classes: usize,
     },
 }
 
-/// All that the core is told at its start.
+/// The core's configuration.
 #[derive(Clone, Debug)]
 pub struct Catalogue {
-    /// The module's settings; `classes` run parallel to `rules`.
+    /// Settings of the scheduler; `classes[i]` belongs to `rules[i]`.
     pub settings: Settings,
-    /// How operations fall into classes.
+    /// Rules that assign operations to classes, tried in order.
     pub rules: Vec<ClassRule>,
     /// Bytes that count as one unit.
     pub unit_bytes: u64,
@@ -89,10 +91,10 @@
 }
 
 impl Catalogue {
-    /// A catalogue whose parts fit together.
+    /// Creates a catalogue after checking that its parts are consistent.
     ///
     /// # Errors
-    /// The first thing that does not fit.
+    /// The first inconsistency found.
     pub fn new(
         settings: Settings,
         rules: Vec<ClassRule>,
@@ -108,45 +110,52 @@
             }
         }
         let mut by_nsid = BTreeMap::new();
-        for v in volumes {
-            if v.plan >= settings.plans.len() {
-                return Err(CatalogueError::NoPlan(v.name));
+        for volume in volumes {
+            if volume.plan >= settings.plans.len() {
+                return Err(CatalogueError::NoPlan(volume.name));
             }
-            if v.blocks == 0 || v.extent_blocks == 0 || v.shards.is_empty() || v.block_size == 0 {
-                return Err(CatalogueError::EmptyVolume(v.name));
+            if volume.blocks == 0
+                || volume.extent_blocks == 0
+                || volume.shards.is_empty()
+                || volume.block_size == 0
+            {
+                return Err(CatalogueError::EmptyVolume(volume.name));
             }
-            let nsid = v.nsid;
-            if by_nsid.insert(nsid, v).is_some() {
+            let nsid = volume.nsid;
+            if by_nsid.insert(nsid, volume).is_some() {
                 return Err(CatalogueError::SameNsid(nsid));
             }
         }
         Ok(Catalogue { settings, rules, unit_bytes: unit_bytes.max(1), volumes: by_nsid })
     }
 
-    /// The volumes, by namespace identifier.
+    /// Returns the volumes in the order of their namespace identifiers.
     pub fn volumes(&self) -> impl Iterator<Item = &Volume> {
         self.volumes.values()
     }
 
-    /// The volume with an identifier.
+    /// Returns the volume with a namespace identifier.
     pub fn volume(&self, nsid: u32) -> Option<&Volume> {
         self.volumes.get(&nsid)
     }
 
-    /// The class of an operation.
+    /// Returns the index of an operation's class.
     pub fn class(&self, opcode: Opcode, bytes: u64) -> usize {
-        let fits = |r: &ClassRule| r.opcode == opcode && r.max_bytes.is_none_or(|most| bytes <= most);
-        self.rules.iter().position(fits).unwrap_or(0)
+        let matches =
+            |rule: &ClassRule| rule.opcode == opcode && rule.max_bytes.is_none_or(|limit| bytes <= limit);
+        self.rules.iter().position(matches).unwrap_or(0)
     }
 
-    /// Units of an operation's part: its bytes in whole units, at least one, at most the settings' largest.
+    /// Returns the size of a part in units: its bytes rounded up to whole units, at least one and at most the
+    /// settings' `most_units`.
     pub fn units(&self, bytes: u64) -> f64 {
         (bytes.div_ceil(self.unit_bytes).max(1) as f64).min(self.settings.most_units.max(1.0))
     }
 }
 
 impl Volume {
-    /// The pieces of an operation, in the order of their blocks. A flush goes to every shard once.
+    /// Splits an operation into its parts, in the order of their blocks. A flush gets one part for each
+    /// shard.
     pub fn parts(&self, slba: u64, blocks: u32) -> Vec<Part> {
         if blocks == 0 {
             let mut shards = self.shards.clone();
@@ -154,23 +163,23 @@
             shards.dedup();
             return shards.into_iter().map(|shard| Part { shard, slba: 0, blocks: 0 }).collect();
         }
-        let (mut at, end) = (slba, slba + u64::from(blocks));
+        let (mut next_block, end) = (slba, slba + u64::from(blocks));
         let mut parts: Vec<Part> = Vec::new();
-        while at < end {
-            let extent = at / self.extent_blocks;
-            let next = ((extent + 1) * self.extent_blocks).min(end);
+        while next_block < end {
+            let extent = next_block / self.extent_blocks;
+            let extent_end = ((extent + 1) * self.extent_blocks).min(end);
             let shard = self.shards[(extent % self.shards.len() as u64) as usize];
             match parts.last_mut() {
-                // Neighbouring extents of one shard need no cut.
-                Some(last) if last.shard == shard => last.blocks += (next - at) as u32,
-                _ => parts.push(Part { shard, slba: at, blocks: (next - at) as u32 }),
+                // Adjacent extents on the same shard are merged into one part.
+                Some(last) if last.shard == shard => last.blocks += (extent_end - next_block) as u32,
+                _ => parts.push(Part { shard, slba: next_block, blocks: (extent_end - next_block) as u32 }),
             }
-            at = next;
+            next_block = extent_end;
         }
         parts
     }
 
-    /// The key of a block.
+    /// Returns the key of a block: the namespace identifier above the low 40 bits of the block number.
     pub fn key(&self, slba: u64) -> KeyId {
         KeyId(u64::from(self.nsid) << 40 | slba & 0xff_ffff_ffff)
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,4 +1,5 @@
-//! The core: operations on volumes over the dispatcher's requests, and each operation's one final answer.
+//! The core: splits operations on volumes into the dispatcher's requests and gives each operation one final
+//! answer.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,80 +10,87 @@
 use crate::catalogue::{Catalogue, Part};
 use crate::effect::{Effect, End, Send};
 use crate::operation::{Answer, Operation, Ticket};
+use crate::retry_demand::{RetryDemands, Wanted};
 use crate::views::{EndedView, Tally, VolumeView};
-use crate::wanted::{Wanted, Wants};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PieceState {
     Open,
+    /// Served, with the data of a read.
     Served(Bytes),
-    Over,
+    Unserved,
 }
 
+/// The state of one part of an open operation.
 pub(crate) struct Piece {
     pub(crate) request: RequestId,
     pub(crate) part: Part,
     pub(crate) state: PieceState,
-    /// Attempts sent.
-    pub(crate) sent: u32,
-    /// Attempts that are out, were served, or may have run.
-    pub(crate) doubt: u32,
+    pub(crate) attempts_sent: u32,
+    /// Attempts that are in flight, were served, or may have run.
+    pub(crate) attempts_possibly_run: u32,
 }
 
-pub(crate) struct Open {
+/// An operation without a final answer yet.
+pub(crate) struct OpenOperation {
     pub(crate) operation: Operation,
-    /// The client gave the token: its repeat carries the same.
-    pub(crate) named: bool,
+    /// The token was set by the client, whose retry carries the same one.
+    pub(crate) has_client_token: bool,
     pub(crate) class: usize,
     pub(crate) block_size: u32,
-    pub(crate) taken: Micros,
+    pub(crate) accepted_at: Micros,
     pub(crate) pieces: Vec<Piece>,
-    /// How the last attempt ended that did not serve.
-    pub(crate) last: Option<Outcome>,
+    /// Outcome of the last attempt that ended without serving.
+    pub(crate) last_outcome: Option<Outcome>,
 }
 
-/// A request of the dispatcher: the operation that it is a part of, and which.
-type Place = (Ticket, usize);
+/// Payload of a dispatcher request: the operation that it belongs to, and the index of its piece.
+type PieceRef = (Ticket, usize);
 
 /// One gateway's core.
 pub struct Core {
     pub(crate) catalogue: Catalogue,
-    pub(crate) dispatcher: Dispatcher<Place>,
+    pub(crate) dispatcher: Dispatcher<PieceRef>,
     pub(crate) now: Micros,
-    pub(crate) open: HashMap<Ticket, Open>,
+    pub(crate) open: HashMap<Ticket, OpenOperation>,
+    /// Randomizes the tokens generated for operations without one.
     token_salt: u64,
-    pub(crate) volumes: BTreeMap<u32, VolumeView>,
+    pub(crate) volume_views: BTreeMap<u32, VolumeView>,
     pub(crate) tally: Tally,
-    pub(crate) ended: VecDeque<EndedView>,
+    /// The latest operations that ended unserved, oldest first.
+    pub(crate) unserved: VecDeque<EndedView>,
+    /// Operations that ended unserved, by reason.
     pub(crate) reasons: BTreeMap<&'static str, u64>,
-    pub(crate) wants: Wants,
+    pub(crate) retry_demands: RetryDemands,
 }
 
 impl Core {
-    /// A core that has taken nothing yet. `seed` feeds the module's randomness and the tokens it gives.
+    /// Creates a core without operations. `seed` initializes the scheduler's random numbers and the tokens
+    /// that the core generates.
     pub fn new(catalogue: Catalogue, seed: u64) -> Self {
         let dispatcher = Dispatcher::new(catalogue.settings.clone(), seed);
-        let volumes = catalogue.volumes().map(|v| (v.nsid, VolumeView::default())).collect();
+        let volume_views = catalogue.volumes().map(|v| (v.nsid, VolumeView::default())).collect();
         Core {
             catalogue,
             dispatcher,
             now: Micros::MIN,
             open: HashMap::new(),
             token_salt: seed,
-            volumes,
+            volume_views,
             tally: Tally::default(),
-            ended: VecDeque::new(),
+            unserved: VecDeque::new(),
             reasons: BTreeMap::new(),
-            wants: Wants::default(),
+            retry_demands: RetryDemands::default(),
         }
     }
 
-    /// The catalogue it works by.
+    /// Returns the core's configuration.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Takes an operation whose range was checked. An unknown volume is refused without advice.
+    /// Submits an operation, whose block range the caller must have checked. An operation on an unknown
+    /// volume is refused without retry advice.
     pub fn submit(&mut self, now: Micros, operation: Operation, effects: &mut Vec<Effect>) {
         self.advance(now);
         let ticket = operation.ticket;
@@ -114,82 +122,102 @@
             })
             .collect();
         let block_size = volume.block_size;
-        if let Some(view) = self.volumes.get_mut(&operation.nsid) {
+        if let Some(view) = self.volume_views.get_mut(&operation.nsid) {
             view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
             view.taken += 1;
             view.open += 1;
         }
         let mut pieces = Vec::with_capacity(parts.len());
-        for (index, (part, ask)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.take(self.now, ask, (ticket, index));
-            pieces.push(Piece { request, part, state: PieceState::Open, sent: 0, doubt: 0 });
+        for (index, (part, request)) in parts.into_iter().enumerate() {
+            let request = self.dispatcher.take(self.now, request, (ticket, index));
+            pieces.push(Piece {
+                request,
+                part,
+                state: PieceState::Open,
+                attempts_sent: 0,
+                attempts_possibly_run: 0,
+            });
         }
         self.tally.taken += 1;
         let mut operation = operation;
-        let named = operation.token != 0;
-        if !named {
+        let has_client_token = operation.token != 0;
+        if !has_client_token {
             operation.token = self.token_salt ^ (ticket.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         }
-        let taken = self.now;
-        self.open.insert(ticket, Open { operation, named, class, block_size, taken, pieces, last: None });
-        self.settle(effects);
+        let accepted_at = self.now;
+        self.open.insert(
+            ticket,
+            OpenOperation {
+                operation,
+                has_client_token,
+                class,
+                block_size,
+                accepted_at,
+                pieces,
+                last_outcome: None,
+            },
+        );
+        self.carry_out_steps(effects);
     }
 
-    /// The client is gone: nothing more is owed, no further attempt goes out. Whether something of it had been sent.
+    /// Withdraws an operation whose client has gone: it gets no answer and no more attempts. Returns whether
+    /// any attempt had been sent.
     pub fn withdraw(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
         let Some(open) = self.open.get(&ticket) else { return false };
-        let was_sent = open.pieces.iter().any(|piece| piece.sent > 0);
+        let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
-        self.drop_operation(ticket);
-        self.settle(effects);
+        self.remove_operation(ticket);
+        self.carry_out_steps(effects);
         was_sent
     }
 
-    /// Takes an operation back if nothing of it has gone out; whether that was so. It then gets no other answer.
+    /// Aborts an operation if no attempt was sent; returns whether it was aborted. An aborted operation gets
+    /// no answer.
     pub fn abort(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
         let Some(open) = self.open.get(&ticket) else { return false };
-        if open.pieces.iter().any(|p| p.sent > 0) {
+        if open.pieces.iter().any(|piece| piece.attempts_sent > 0) {
             return false;
         }
         self.tally.aborted += 1;
-        self.drop_operation(ticket);
-        self.settle(effects);
+        self.remove_operation(ticket);
+        self.carry_out_steps(effects);
         true
     }
 
-    pub(crate) fn drop_operation(&mut self, ticket: Ticket) {
+    /// Removes an open operation and withdraws the requests of its unfinished parts.
+    pub(crate) fn remove_operation(&mut self, ticket: Ticket) {
         let Some(open) = self.open.remove(&ticket) else { return };
-        if let Some(view) = self.volumes.get_mut(&open.operation.nsid) {
+        if let Some(view) = self.volume_views.get_mut(&open.operation.nsid) {
             view.open -= 1;
         }
-        for piece in open.pieces.into_iter().filter(|p| p.state == PieceState::Open) {
+        for piece in open.pieces.into_iter().filter(|piece| piece.state == PieceState::Open) {
             self.dispatcher.withdraw(self.now, piece.request);
         }
     }
 
-    /// The host leaves: every open operation is answered now, refused where nothing of it went out or a repeat is
-    /// harmless, else failed.
+    /// Answers every open operation at shutdown: refused if the client may safely retry it, failed otherwise.
     pub fn end_all(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         let mut tickets: Vec<Ticket> = self.open.keys().copied().collect();
         tickets.sort();
         for ticket in tickets {
             let Some(open) = self.open.get(&ticket) else { continue };
-            let answer = if self.repeat_is_harmless(open) {
+            let answer = if self.retry_is_safe(open) {
                 Answer::Refused { come_back: self.catalogue.settings.most_advice }
             } else {
                 Answer::Failed
             };
             self.count_unserved(ticket, &answer);
-            self.drop_operation(ticket);
+            self.remove_operation(ticket);
             effects.push(Effect::Answer(ticket, answer));
         }
-        self.settle(effects);
+        self.carry_out_steps(effects);
     }
 
-    /// An attempt ended. Ends that nobody waits for any more are counted and passed over.
+    /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
+    /// and otherwise ignored.
     pub fn ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
         self.advance(now);
         if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
@@ -197,21 +225,21 @@
             && self.dispatcher.is_out(attempt)
             && let Some(open) = self.open.get_mut(&ticket)
         {
-            open.last = Some(end.outcome);
+            open.last_outcome = Some(end.outcome);
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
-            open.pieces[index].doubt -= u32::from(never_ran);
+            open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
         let served = self.dispatcher.ended(self.now, attempt, end.outcome, end.load);
         if let Some((ticket, index)) = served
             && let Some(open) = self.open.get_mut(&ticket)
         {
             open.pieces[index].state = PieceState::Served(end.data);
-            self.answer_if_whole(ticket, effects);
+            self.answer_if_complete(ticket, effects);
         }
-        self.settle(effects);
+        self.carry_out_steps(effects);
     }
 
-    /// The node list: whole, or the lines that changed.
+    /// Applies the node list: the whole list, or only the entries that changed.
     pub fn nodes(
         &mut self,
         now: Micros,
@@ -222,19 +250,20 @@
     ) {
         self.advance(now);
         self.dispatcher.nodes(self.now, whole, remembered, listed);
-        self.settle(effects);
+        self.carry_out_steps(effects);
     }
 
-    /// The node list could not be had.
+    /// Notifies the scheduler that fetching the node list failed.
     pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         self.dispatcher.nodes_failed(self.now);
-        self.settle(effects);
+        self.carry_out_steps(effects);
     }
 
-    /// What a shard bears from now on beyond first attempts, in place of what was allowed before: so many further attempts,
-    /// or first ones of operations with `retry`; the rest is refused with this advice, in microseconds, at once or after it
-    /// has waited ([`Core::limit_awaiting`]). A shard never named is unlimited.
+    /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
+    /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
+    /// its advice, at once or after waiting for a token ([`Core::limit_awaiting`]). A shard without an
+    /// allowance is unlimited.
     pub fn allow(
         &mut self,
         now: Micros,
@@ -244,56 +273,59 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.wants.allow(shard, further);
+        self.retry_demands.set_tokens(shard, further);
         self.dispatcher.allow(self.now, shard, further, come_back);
-        self.settle(effects);
+        self.carry_out_steps(effects);
     }
 
-    /// How many parts may wait for a right of a shard while it has none left; none until this is told.
+    /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
+    /// is set.
     pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
         self.dispatcher.limit_awaiting(self.now, shard, most);
     }
 
-    /// The shards at which other parts wait for a right than were told of last.
+    /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
     pub fn take_shortages(&mut self) -> Vec<Shortage> {
         self.dispatcher.take_shortages()
     }
 
-    /// What was turned away for want of rights since the last call, oldest first; the last few hundred at most.
+    /// Returns the parts refused for lack of a retry token since the last call, oldest first; the last 256 at
+    /// most.
     pub fn take_wanted(&mut self) -> VecDeque<Wanted> {
-        self.wants.take()
+        self.retry_demands.take()
     }
 
-    /// Forgets the nodes that are gone for good; which they are.
+    /// Removes the nodes that are gone and unused; returns them.
     pub fn forget_gone(&mut self) -> Vec<NodeId> {
         self.dispatcher.forget_gone()
     }
 
-    /// The number of a node; a name that is new gets the next one.
+    /// Returns the number of a node. An unknown name is assigned the next number.
     pub fn node_id(&mut self, name: &str) -> NodeId {
         self.dispatcher.node_id(name)
     }
 
-    /// When [`Core::tick`] is due next.
+    /// Returns the time at which [`Core::tick`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         self.dispatcher.next_due()
     }
 
-    /// Carries out what is due: the module's timers, and attempts whose time is up.
+    /// Handles everything that is due: the scheduler's timers, and attempts whose deadline has passed.
     pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         while self.dispatcher.tick(self.now) {
-            self.settle(effects);
+            self.carry_out_steps(effects);
         }
     }
 
+    /// Advances the clock, which never goes back.
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Carries out what the dispatcher says until it says nothing more.
-    fn settle(&mut self, effects: &mut Vec<Effect>) {
+    /// Carries out the dispatcher's steps until there are none left.
+    fn carry_out_steps(&mut self, effects: &mut Vec<Effect>) {
         while let Some(step) = self.dispatcher.step() {
             match step {
                 Step::Send { attempt, node, .. } => self.send(attempt, node, effects),
@@ -301,11 +333,11 @@
                     if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
                         && let Some(open) = self.open.get_mut(&ticket)
                     {
-                        open.last = Some(outcome);
+                        open.last_outcome = Some(outcome);
                     }
                     effects.push(Effect::Forget(attempt, node));
                 }
-                Step::Over(_, (ticket, index), verdict) => self.end(ticket, index, verdict, effects),
+                Step::Over(_, (ticket, index), verdict) => self.end_unserved(ticket, index, verdict, effects),
                 Step::Subscribe => effects.push(Effect::Subscribe),
                 Step::Log(line) => effects.push(Effect::Log(line)),
             }
@@ -316,19 +348,19 @@
         let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request) else { return };
         let Some(open) = self.open.get_mut(&ticket) else { return };
         let piece = &mut open.pieces[index];
-        piece.sent += 1;
-        piece.doubt += 1;
+        piece.attempts_sent += 1;
+        piece.attempts_possibly_run += 1;
         let (part, operation) = (piece.part, &open.operation);
         let bytes = part.blocks * open.block_size;
         let data = if operation.data.is_empty() {
             Bytes::new()
         } else {
-            let from = (part.slba - operation.slba) as usize * open.block_size as usize;
-            operation.data.slice(from..from + bytes as usize)
+            let start = (part.slba - operation.slba) as usize * open.block_size as usize;
+            operation.data.slice(start..start + bytes as usize)
         };
         let further = attempt.n > 0 || operation.retry;
         if further {
-            self.wants.sent(part.shard);
+            self.retry_demands.use_token(part.shard);
         }
         effects.push(Effect::Send(Send {
             attempt,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the core asks for, and how it is told of an attempt's end.
+//! Effects that the core asks its caller to carry out, and the reported ends of attempts.
 
 use bytes::Bytes;
 use decisions::{NodeId, Outcome, ShardId};
@@ -6,63 +6,65 @@
 
 use crate::operation::{Answer, Opcode, Ticket};
 
-/// What the caller has to carry out.
+/// An effect for the caller to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send an attempt, and report its end once.
+    /// Send an attempt and report its end once.
     Send(Send),
-    /// Nobody waits for this attempt any more: it timed out here, or was cancelled. Its end need not be reported.
+    /// The attempt timed out or was cancelled. Its end need not be reported.
     Forget(AttemptId, NodeId),
-    /// The one final answer of an operation.
+    /// Deliver the final answer to an operation.
     Answer(Ticket, Answer),
-    /// The module wants the node list.
+    /// Subscribe to the node list for the scheduler.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
-/// An attempt to be sent.
+/// An attempt to be sent to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
-    /// Names the attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// Where to.
+    /// The node to send it to.
     pub node: NodeId,
-    /// What to do.
+    /// Kind of operation.
     pub opcode: Opcode,
-    /// Namespace.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
     /// First block.
     pub slba: u64,
-    /// Blocks; 0 for a flush.
+    /// Number of blocks; 0 for a flush.
     pub blocks: u32,
     /// Length of the blocks, in bytes.
     pub bytes: u32,
-    /// Data of a write.
+    /// Data of a write; empty for other operations.
     pub data: Bytes,
-    /// The shard that its blocks lie on.
+    /// Shard that holds the blocks.
     pub shard: ShardId,
-    /// It is beyond the first of its part, or of an operation known as a repeat: what [`Core::allow`] counts.
+    /// The attempt uses a retry token: it is not the first of its part, or the operation is marked as a
+    /// client's retry. See [`Core::allow`](crate::Core::allow).
     pub further: bool,
-    /// Token of the operation.
+    /// Idempotency token of the operation.
     pub token: u64,
-    /// Nodes are to discard repeats of it by its token.
+    /// Nodes must discard duplicates of the attempt by its token.
     pub keyed: bool,
 }
 
-/// How an attempt ended, as the link knows it.
+/// The end of an attempt, as reported by the connection to its node.
 #[derive(Clone, Debug)]
 pub struct End {
-    /// The true outcome: *never ran* only where that is certain.
+    /// Outcome of the attempt. One that says that the attempt never ran may be reported only where that is
+    /// certain.
     pub outcome: Outcome,
-    /// Data of a read that was served.
+    /// Data of a served read.
     pub data: Bytes,
-    /// Requests that the node holds, as it reports.
+    /// Number of requests held by the node, if it reported it.
     pub load: Option<u32>,
 }
 
 impl End {
-    /// An end without data or report.
+    /// Creates an end without data and without a load report.
     pub fn of(outcome: Outcome) -> Self {
         End { outcome, data: Bytes::new(), load: None }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,12 @@
-//! The gateway's core without I/O: operations on volumes become events of the decision module, its actions
-//! become sends to nodes and final answers. Requests, attempts and timers are `dispatch`'s; operations on volumes are made of them
-//! here.
+//! The gateway's core, without I/O: splits operations on volumes into requests of the `dispatch` package, and
+//! turns the results into attempts to send and final answers. `dispatch` holds the requests, attempts and
+//! timers.
 //!
-//! [`Core`] owns each request's one final answer. It decides nothing about requests: which node, when, how often,
-//! refused or failed is the module's. It knows no socket and no protocol: fronts hand in an [`Operation`] and get an
-//! [`Answer`] under the same [`Ticket`]; links carry out a [`Send`] and report how it [`Core::ended`].
+//! [`Core`] gives each operation exactly one final answer. It makes no decisions about requests: the
+//! scheduler chooses nodes, send times and the number of attempts, and decides whether a request is refused
+//! or failed. It knows no sockets and no protocols: a protocol front end submits an [`Operation`] and gets an
+//! [`Answer`] under the same [`Ticket`]; connections to nodes carry out a [`Send`] and report how it
+//! [ended](Core::ended).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,14 +16,14 @@
 mod core;
 mod effect;
 mod operation;
+mod retry_demand;
 mod views;
-mod wanted;
 
 pub use crate::catalogue::{Catalogue, CatalogueError, ClassRule, Part, Volume};
 pub use crate::core::Core;
 pub use crate::effect::{Effect, End, Send};
 pub use crate::operation::{Answer, Opcode, Operation, Ticket};
+pub use crate::retry_demand::Wanted;
 pub use crate::views::{EndedView, OpenView, Tally, VolumeView};
-pub use crate::wanted::Wanted;
 pub use decisions::{ClientId, Shortage};
 pub use dispatch::{AttemptId, ListedNode, Micros, NodeLook, NodeState, NodeView, Outcome};
--- a/crates/core/src/operation.rs
+++ b/crates/core/src/operation.rs
@@ -1,9 +1,9 @@
-//! What a front hands in, and what it gets back.
+//! Operations that a protocol front end submits, and their answers.
 
 use bytes::Bytes;
 use decisions::{ClientId, Micros};
 
-/// A front's name for an operation; not reused while the operation is open.
+/// Identifies an operation. Chosen by the front end, which must not reuse it while the operation is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
@@ -19,10 +19,10 @@
 }
 
 impl Opcode {
-    /// All of them.
+    /// All opcodes.
     pub const ALL: [Opcode; 3] = [Opcode::Read, Opcode::Write, Opcode::Flush];
 
-    /// Its word in settings and records.
+    /// Returns the name used in settings and records.
     pub fn word(self) -> &'static str {
         match self {
             Opcode::Read => "read",
@@ -32,39 +32,40 @@
     }
 }
 
-/// An operation on a volume, all its data received.
+/// An operation on a volume, with all of its data.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Its name.
+    /// Identifies the operation to the front end.
     pub ticket: Ticket,
-    /// What it does.
+    /// Kind of operation.
     pub opcode: Opcode,
-    /// The volume's namespace identifier.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
     /// First block.
     pub slba: u64,
-    /// Blocks; 0 for a flush.
+    /// Number of blocks; 0 for a flush.
     pub blocks: u32,
-    /// Data of a write, as long as its blocks.
+    /// Data of a write, exactly as long as its blocks.
     pub data: Bytes,
-    /// Names the operation to the nodes, which discard repeats of a keyed write by it. 0: the core gives one.
+    /// Idempotency token sent to the nodes, which use it to discard duplicates of a keyed write. If it is 0,
+    /// the core generates one.
     pub token: u64,
-    /// It is known to be a client's repeat of one that ended unserved, here or at another gateway.
+    /// The operation is known to be a client's retry of one that ended unserved, at this or another gateway.
     pub retry: bool,
-    /// Whose it is, where that is known.
+    /// The client that submitted it, if known.
     pub client: Option<ClientId>,
 }
 
-/// The one final answer.
+/// The final answer to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Carried out; with the data of a read.
+    /// The operation was carried out; holds the data of a read.
     Served(Bytes),
-    /// Turned away: it never ran, or running it again is harmless.
+    /// Refused: the operation never ran, or running it again is harmless.
     Refused {
-        /// When the client should come back, in microseconds; 0: no advice.
+        /// Delay after which the client should retry, in microseconds; 0 if there is no advice.
         come_back: Micros,
     },
-    /// Failed: nothing is known about its effect.
+    /// Failed: the operation may or may not have taken effect.
     Failed,
 }
--- a/crates/core/src/retry_demand.rs
+++ b/crates/core/src/retry_demand.rs
@@ -1,54 +1,60 @@
-//! What was held back for want of rights, for whoever deals them out. Nothing about requests follows from it here.
+//! Unmet demand for retry tokens, collected for the component that distributes them. It has no influence on
+//! requests here.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use decisions::{Micros, ShardId};
 
-/// An operation's part that the module turned away while its shard had no right left for it.
+/// A part of an operation that ended unserved while its shard had no retry token left for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wanted {
-    /// Where it lies.
+    /// Shard that the part lies on.
     pub shard: ShardId,
     /// Worth of its class times the price of its plan.
     pub worth: f64,
-    /// What was left of its client's patience, in microseconds.
+    /// Time that its client would still have waited, in microseconds.
     pub left: Micros,
 }
 
-/// Kept until they are fetched. Danger: nobody fetches them, and they grow for ever. Harm: of a burst the oldest are lost,
-/// which tells of no more want than the rest.
-const KEPT: usize = 256;
+/// Demands kept until they are fetched. The limit bounds memory if nobody fetches them. In a burst the oldest
+/// are lost, which hides little: the rest shows the same demand.
+const MAX_PENDING: usize = 256;
 
-/// The rights of each shard as they were allowed and used here: the module's count, seen from outside.
+/// The retry tokens left of each shard, counted as the scheduler counts them, and the demands not fetched
+/// yet.
 #[derive(Debug, Default)]
-pub(crate) struct Wants {
-    left: BTreeMap<ShardId, u32>,
-    kept: VecDeque<Wanted>,
+pub(crate) struct RetryDemands {
+    tokens_left: BTreeMap<ShardId, u32>,
+    pending: VecDeque<Wanted>,
 }
 
-impl Wants {
-    pub(crate) fn allow(&mut self, shard: ShardId, further: u32) {
-        self.left.insert(shard, further);
+impl RetryDemands {
+    /// Sets the retry tokens of a shard.
+    pub(crate) fn set_tokens(&mut self, shard: ShardId, tokens: u32) {
+        self.tokens_left.insert(shard, tokens);
     }
 
-    pub(crate) fn sent(&mut self, shard: ShardId) {
-        if let Some(left) = self.left.get_mut(&shard) {
+    /// Takes off the token that a retry has used.
+    pub(crate) fn use_token(&mut self, shard: ShardId) {
+        if let Some(left) = self.tokens_left.get_mut(&shard) {
             *left = left.saturating_sub(1);
         }
     }
 
-    /// A part that needed a right ended unserved: kept if there was none and its client still waited.
-    pub(crate) fn ended(&mut self, wanted: Wanted) {
-        if self.left.get(&wanted.shard) != Some(&0) || wanted.left <= 0 {
+    /// Records a part that needed a token and ended unserved, if its shard has none left and its client still
+    /// waits.
+    pub(crate) fn record_unserved(&mut self, wanted: Wanted) {
+        if self.tokens_left.get(&wanted.shard) != Some(&0) || wanted.left <= 0 {
             return;
         }
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.kept.push_back(wanted);
+        self.pending.push_back(wanted);
     }
 
+    /// Removes and returns the pending demands, oldest first.
     pub(crate) fn take(&mut self) -> VecDeque<Wanted> {
-        std::mem::take(&mut self.kept)
+        std::mem::take(&mut self.pending)
     }
 }
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -1,97 +1,99 @@
-//! What the core shows of itself: counts, volumes, operations open and ended. Nothing follows from it.
+//! Read-only views of the core for status pages: counters, volumes, open operations and operations that ended
+//! unserved. No decision depends on them.
 
 use std::collections::{BTreeMap, HashMap};
 
 use decisions::{Cause, Micros, NodeId, NodeLook, Outcome, RequestId};
 use dispatch::NodeView;
 
-use crate::core::{Core, Open};
+use crate::core::{Core, OpenOperation};
 use crate::operation::{Opcode, Ticket};
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Operations taken.
+    /// Operations accepted.
     pub taken: u64,
-    /// Served.
+    /// Operations served.
     pub served: u64,
-    /// Refused.
+    /// Operations refused.
     pub refused: u64,
-    /// Failed.
+    /// Operations failed.
     pub failed: u64,
-    /// Aborted before anything of them went out.
+    /// Operations aborted before any attempt was sent.
     pub aborted: u64,
-    /// Left by their client.
+    /// Operations whose client has gone.
     pub withdrawn: u64,
     /// Attempts sent.
     pub sent: u64,
-    /// Attempts after a request's first.
+    /// Attempts sent after a request's first: retries and hedges.
     pub further: u64,
-    /// Ends that came after nobody waited.
+    /// Attempt ends reported after the core had stopped waiting for them.
     pub late: u64,
 }
 
-/// What the core has seen of a volume.
+/// Counters of one volume.
 #[derive(Clone, Debug, Default)]
 pub struct VolumeView {
-    /// Operations open now.
+    /// Operations that are open.
     pub open: u64,
-    /// Operations taken.
+    /// Operations accepted.
     pub taken: u64,
-    /// Served.
+    /// Operations served.
     pub served: u64,
-    /// Refused.
+    /// Operations refused.
     pub refused: u64,
-    /// Failed.
+    /// Operations failed.
     pub failed: u64,
-    /// Units asked for.
+    /// Total size of the accepted operations, in units.
     pub units: f64,
 }
 
 /// An open operation.
 #[derive(Clone, Debug)]
 pub struct OpenView {
-    /// Its name.
+    /// Identifies the operation.
     pub ticket: Ticket,
-    /// Namespace.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
-    /// What it does.
+    /// Kind of operation.
     pub opcode: Opcode,
     /// Index of its class.
     pub class: usize,
-    /// When it was taken.
+    /// Time at which it was accepted.
     pub taken: Micros,
-    /// Attempts sent for it so far.
+    /// Number of attempts sent so far.
     pub attempts: u32,
-    /// Nodes at which attempts are out.
+    /// Nodes with an attempt in flight.
     pub nodes: Vec<NodeId>,
 }
 
 /// An operation that ended unserved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedView {
-    /// When.
+    /// Time at which it ended.
     pub at: Micros,
-    /// Its name.
+    /// Identifies the operation.
     pub ticket: Ticket,
-    /// Namespace.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
-    /// What it was to do.
+    /// Kind of operation.
     pub opcode: Opcode,
     /// Index of its class.
     pub class: usize,
-    /// Refused with this advice; none: failed.
+    /// The retry advice of a refusal, in microseconds; `None` if the operation failed.
     pub refused: Option<Micros>,
-    /// How old it was.
+    /// Time from its acceptance to its end.
     pub age: Micros,
-    /// Attempts sent for it.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// How the last of them ended, as far as it did.
+    /// Outcome of the last attempt that ended without serving it; `None` if there was none.
     pub last: Option<Outcome>,
 }
 
 impl EndedView {
-    /// Why, as far as it shows from outside the module.
+    /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the gateway's
+    /// status.
     pub fn reason(&self) -> &'static str {
         match (self.attempts, self.last) {
             (0, _) => "held until it would have been late, or its limit",
@@ -107,65 +109,66 @@
 }
 
 impl Core {
-    /// What the module thinks of a node.
+    /// Returns the scheduler's view of a node.
     pub fn look(&self, node: NodeId) -> Option<NodeLook> {
         self.dispatcher.look(node)
     }
 
-    /// The last operations that ended unserved, oldest first.
+    /// Returns the latest operations that ended unserved, oldest first.
     pub fn ended_views(&self) -> impl DoubleEndedIterator<Item = &EndedView> {
-        self.ended.iter()
+        self.unserved.iter()
     }
 
-    /// How many requests of operations ended unserved, by class and cause as the module saw it.
+    /// Returns the number of requests that ended unserved, by class and by the cause that the scheduler
+    /// determined.
     pub fn causes(&self) -> &BTreeMap<(usize, Cause), u64> {
         self.dispatcher.unserved()
     }
 
-    /// How many ended unserved, by reason.
+    /// Returns the number of operations that ended unserved, by [reason](EndedView::reason).
     pub fn reasons(&self) -> &BTreeMap<&'static str, u64> {
         &self.reasons
     }
 
-    /// Operations that are owed an answer.
+    /// Returns the number of open operations: those without a final answer.
     pub fn open_operations(&self) -> usize {
         self.open.len()
     }
 
-    /// Attempts out, those of finished operations included.
+    /// Returns the number of attempts in flight, including those of finished operations.
     pub fn attempts_out(&self) -> usize {
         self.dispatcher.out().count()
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn tally(&self) -> Tally {
         let dispatch::Counts { sent, further, late, .. } = self.dispatcher.counts();
         Tally { sent, further, late, ..self.tally }
     }
 
-    /// The nodes known, by number.
+    /// Returns the known nodes by number.
     pub fn node_views(&self) -> &BTreeMap<NodeId, NodeView> {
         self.dispatcher.node_views()
     }
 
-    /// The volumes, by namespace identifier.
+    /// Returns the counters of each volume by namespace identifier.
     pub fn volume_views(&self) -> &BTreeMap<u32, VolumeView> {
-        &self.volumes
+        &self.volume_views
     }
 
-    /// The open operations, oldest first.
+    /// Returns the open operations, oldest first.
     pub fn open_views(&self) -> Vec<OpenView> {
         let mut nodes: HashMap<RequestId, Vec<NodeId>> = HashMap::new();
         for (attempt, node) in self.dispatcher.out() {
             nodes.entry(attempt.request).or_default().push(node);
         }
-        let view = |(&ticket, open): (&Ticket, &Open)| OpenView {
+        let view = |(&ticket, open): (&Ticket, &OpenOperation)| OpenView {
             ticket,
             nsid: open.operation.nsid,
             opcode: open.operation.opcode,
             class: open.class,
-            taken: open.taken,
-            attempts: open.pieces.iter().map(|p| p.sent).sum(),
+            taken: open.accepted_at,
+            attempts: open.pieces.iter().map(|p| p.attempts_sent).sum(),
             nodes: open.pieces.iter().filter_map(|p| nodes.get(&p.request)).flatten().copied().collect(),
         };
         let mut views: Vec<OpenView> = self.open.iter().map(view).collect();
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small catalogue and its operations.
+//! A small catalogue with one volume on two shards, and helpers to build operations on it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -82,7 +82,7 @@
         extent_blocks: 8,
         shards: vec![ShardId(0), ShardId(1)],
     };
-    Catalogue::new(settings, rules, 4096, vec![volume]).expect("it fits")
+    Catalogue::new(settings, rules, 4096, vec![volume]).expect("catalogue is valid")
 }
 
 pub fn node(name: &str, shard: u32, state: NodeState) -> ListedNode {
--- a/crates/core/tests/withdrawn.rs
+++ b/crates/core/tests/withdrawn.rs
@@ -1,4 +1,4 @@
-//! Operations whose client has left.
+//! Operations whose client has gone.
 
 mod common;
 
@@ -6,9 +6,10 @@
 use common::*;
 use storage_core::*;
 
-/// Guards against commands that never went out and are taken for repeats when their client comes again.
+/// Guards against treating a client's resubmission as a retry although no attempt of the withdrawn operation
+/// was sent.
 #[test]
-fn a_withdrawn_operation_says_whether_something_of_it_was_sent() {
+fn withdraw_returns_whether_an_attempt_was_sent() {
     let mut core = core();
     let mut effects = Vec::new();
     let read = |ticket| operation(ticket, Opcode::Read, 0, 1, Bytes::new());
@@ -16,9 +17,9 @@
         core.submit(1000, read(ticket), &mut effects);
     }
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Send(_))).count();
-    assert!(0 < sent && sent < 20, "{sent} of 20 went out: the others wait for the node");
+    assert!(0 < sent && sent < 20, "{sent} of 20 were sent; the others must wait for the node");
     let withdrawn: Vec<bool> =
         (1..=20).map(|ticket| core.withdraw(2000, Ticket(ticket), &mut Vec::new())).collect();
     assert_eq!(withdrawn.iter().filter(|was_sent| **was_sent).count(), sent);
-    assert!(!core.withdraw(2000, Ticket(1), &mut effects), "it is not there any more");
+    assert!(!core.withdraw(2000, Ticket(1), &mut effects), "the operation was already withdrawn");
 }
