--- a/crates/limits/src/gate.rs
+++ b/crates/limits/src/gate.rs
@@ -1,274 +1,280 @@
-//! What is let in.
+//! Admission of connections and commands.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// Time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A connection's number; numbers rise with the order of arrival.
+/// Identifies a connection; numbers increase in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// The limits.
+/// The limits to enforce.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GateOptions {
-    /// Connections in all.
+    /// Connections in total.
     pub connections: usize,
     /// Connections from one address.
     pub from_address: usize,
-    /// Of these, on their way up at one time.
+    /// Connections from one address that are not established yet.
     pub rising_from_address: usize,
-    /// How long a way up may take.
+    /// Time in which a connection must be established, in microseconds.
     pub way_up: Micros,
-    /// Commands held, of one host and in all.
+    /// Commands held for one host.
     pub host_commands: usize,
-    /// Commands held in all.
+    /// Commands held in total.
     pub commands: usize,
-    /// Bytes of writes held, of one host and in all.
+    /// Bytes of write data held for one host.
     pub host_bytes: u64,
-    /// Bytes of writes held in all.
+    /// Bytes of write data held in total.
     pub bytes: u64,
 }
 
-/// Which limit is reached.
+/// The limit that was reached. The messages are keys in the gateway's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum Over {
-    /// All connections are taken by hosts that completed their way up.
+    /// All connections are in use, and all of them are established.
     #[error("limits.connections is reached")]
     Connections,
-    /// Too many from one address.
+    /// Too many connections from the address.
     #[error("limits.connections_from_address is reached")]
     FromAddress,
-    /// Too many of one address on their way up.
+    /// Too many connections from the address that are not established yet.
     #[error("limits.rising_from_address is reached")]
     Rising,
-    /// The host holds too many commands.
+    /// Too many commands are held for the host.
     #[error("limits.host_commands is reached")]
     HostCommands,
-    /// All hosts together do.
+    /// Too many commands are held in total.
     #[error("limits.commands is reached")]
     Commands,
-    /// The host holds too many bytes.
+    /// Too many bytes are held for the host.
     #[error("limits.host_held_mib is reached")]
     HostBytes,
-    /// All hosts together do.
+    /// Too many bytes are held in total.
     #[error("limits.held_mib is reached")]
     Bytes,
 }
 
-/// What becomes of a new connection.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opened {
-    /// It is kept.
+    /// The connection is accepted.
     Kept,
-    /// It is kept, and this one is to be closed in its place: it never completed its way up.
+    /// The connection is accepted in place of this one, which was never established and which the caller must
+    /// close.
     InPlaceOf(ConnectionId),
-    /// It is to be closed.
+    /// The connection is rejected because of this limit; the caller must close it.
     Closed(Over),
 }
 
 #[derive(Clone, Debug)]
 struct Connection {
-    from: IpAddr,
-    since: Micros,
-    /// None on its way up.
+    address: IpAddr,
+    opened_at: Micros,
+    /// `None` until the connection is established.
     host: Option<String>,
     commands: usize,
     bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct Usage {
     connections: usize,
     commands: usize,
     bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Address {
+struct AddressUsage {
     connections: usize,
-    rising: usize,
+    connecting: usize,
 }
 
-/// The gate of one gateway.
+/// Admission control of one gateway.
 #[derive(Debug)]
 pub struct Gate {
     options: GateOptions,
     connections: HashMap<ConnectionId, Connection>,
-    /// On their way up, the oldest first.
-    rising: BTreeSet<(Micros, ConnectionId)>,
-    addresses: HashMap<IpAddr, Address>,
-    hosts: BTreeMap<String, Held>,
-    all: Held,
-    turned_away: BTreeMap<Over, u64>,
+    /// Connections that are not established yet, oldest first.
+    connecting: BTreeSet<(Micros, ConnectionId)>,
+    addresses: HashMap<IpAddr, AddressUsage>,
+    hosts: BTreeMap<String, Usage>,
+    total: Usage,
+    rejections: BTreeMap<Over, u64>,
 }
 
 impl Gate {
-    /// A gate that has let nobody in yet.
+    /// Creates an admission control without connections.
     pub fn new(options: GateOptions) -> Self {
         Gate {
             options,
             connections: HashMap::new(),
-            rising: BTreeSet::new(),
+            connecting: BTreeSet::new(),
             addresses: HashMap::new(),
             hosts: BTreeMap::new(),
-            all: Held::default(),
-            turned_away: BTreeMap::new(),
+            total: Usage::default(),
+            rejections: BTreeMap::new(),
         }
     }
 
-    /// A connection was accepted.
+    /// Decides whether to accept a new connection.
     ///
-    /// Danger: connections that never complete their way up (a port scanner, a host that hangs, a flood) fill the table and
-    /// keep everybody out. They are limited by address, let go after a time, and where the table is full the oldest of them
-    /// gives way. One that completed its way up never does. Harm: under a flood from many addresses an honest host may
-    /// have to try again, as its own way up may be the oldest.
-    pub fn open(&mut self, now: Micros, id: ConnectionId, from: IpAddr) -> Opened {
-        let of = self.addresses.get(&from).copied().unwrap_or_default();
-        if of.connections >= self.options.from_address {
-            return self.turn_away(Over::FromAddress);
+    /// Connections that are never established (from a port scanner, a hanging host or a flood) must not fill
+    /// the table and lock out everyone else. Their number is limited by address, they are closed after a
+    /// timeout, and when the table is full the oldest of them is closed to make room. An established
+    /// connection is never closed for this. Under a flood from many addresses a legitimate host may have to
+    /// reconnect, because its own connection may be the oldest that is not established.
+    pub fn open(&mut self, now: Micros, id: ConnectionId, address: IpAddr) -> Opened {
+        let usage = self.addresses.get(&address).copied().unwrap_or_default();
+        if usage.connections >= self.options.from_address {
+            return self.reject(Over::FromAddress);
         }
-        if of.rising >= self.options.rising_from_address {
-            return self.turn_away(Over::Rising);
+        if usage.connecting >= self.options.rising_from_address {
+            return self.reject(Over::Rising);
         }
         let mut opened = Opened::Kept;
-        if self.all.connections >= self.options.connections {
-            let Some(&(_, oldest)) = self.rising.first() else { return self.turn_away(Over::Connections) };
+        if self.total.connections >= self.options.connections {
+            let Some(&(_, oldest)) = self.connecting.first() else { return self.reject(Over::Connections) };
             self.close(oldest);
             opened = Opened::InPlaceOf(oldest);
         }
-        let of = self.addresses.entry(from).or_default();
-        (of.connections, of.rising) = (of.connections + 1, of.rising + 1);
-        self.all.connections += 1;
-        self.rising.insert((now, id));
-        self.connections.insert(id, Connection { from, since: now, host: None, commands: 0, bytes: 0 });
+        let usage = self.addresses.entry(address).or_default();
+        (usage.connections, usage.connecting) = (usage.connections + 1, usage.connecting + 1);
+        self.total.connections += 1;
+        self.connecting.insert((now, id));
+        self.connections
+            .insert(id, Connection { address, opened_at: now, host: None, commands: 0, bytes: 0 });
         opened
     }
 
-    fn turn_away(&mut self, over: Over) -> Opened {
-        *self.turned_away.entry(over).or_default() += 1;
+    /// Counts a rejection.
+    fn reject(&mut self, over: Over) -> Opened {
+        *self.rejections.entry(over).or_default() += 1;
         Opened::Closed(over)
     }
 
-    /// Whether a connection is let in: it was not turned away, and has not given way.
+    /// Whether a connection is accepted and has not been closed to make room.
     pub fn holds(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
-    /// A connection completed its way up: it is a queue of this host's. Whether it is let in still; if not, it is to be closed.
+    /// Marks a connection as established: it is a queue of `host`. Returns false if it is no longer accepted;
+    /// the caller must then close it.
     pub fn risen(&mut self, id: ConnectionId, host: &str) -> bool {
-        let Some(c) = self.connections.get_mut(&id) else { return false };
-        if c.host.is_some() {
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        if connection.host.is_some() {
             return true;
         }
-        c.host = Some(host.to_owned());
-        self.rising.remove(&(c.since, id));
-        if let Some(of) = self.addresses.get_mut(&c.from) {
-            of.rising -= 1;
+        connection.host = Some(host.to_owned());
+        self.connecting.remove(&(connection.opened_at, id));
+        if let Some(usage) = self.addresses.get_mut(&connection.address) {
+            usage.connecting -= 1;
         }
         self.hosts.entry(host.to_owned()).or_default().connections += 1;
         true
     }
 
-    /// A connection is gone. One that is not known was turned away or gave way: passed over.
+    /// Removes a connection that has closed. An unknown one was rejected or closed to make room, and is
+    /// ignored.
     pub fn close(&mut self, id: ConnectionId) {
-        let Some(c) = self.connections.remove(&id) else { return };
-        self.all.connections -= 1;
-        self.all.commands -= c.commands;
-        self.all.bytes -= c.bytes;
-        let rising = self.rising.remove(&(c.since, id));
-        if let Some(of) = self.addresses.get_mut(&c.from) {
-            of.connections -= 1;
-            of.rising -= usize::from(rising);
-            if of.connections == 0 {
-                self.addresses.remove(&c.from);
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.total.connections -= 1;
+        self.total.commands -= connection.commands;
+        self.total.bytes -= connection.bytes;
+        let was_connecting = self.connecting.remove(&(connection.opened_at, id));
+        if let Some(usage) = self.addresses.get_mut(&connection.address) {
+            usage.connections -= 1;
+            usage.connecting -= usize::from(was_connecting);
+            if usage.connections == 0 {
+                self.addresses.remove(&connection.address);
             }
         }
-        if let Some(host) = c.host
-            && let Some(held) = self.hosts.get_mut(&host)
+        if let Some(host) = connection.host
+            && let Some(usage) = self.hosts.get_mut(&host)
         {
-            held.connections -= 1;
-            held.commands -= c.commands;
-            held.bytes -= c.bytes;
-            if held.connections == 0 {
+            usage.connections -= 1;
+            usage.commands -= connection.commands;
+            usage.bytes -= connection.bytes;
+            if usage.connections == 0 {
                 self.hosts.remove(&host);
             }
         }
     }
 
-    /// Connections whose way up has taken too long; they are closed here, and to be closed by the caller.
+    /// Removes and returns the connections that were not established in time; the caller must close them.
     pub fn overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
-        let late = self.rising.iter().take_while(|(since, _)| now - since >= self.options.way_up);
-        let late: Vec<ConnectionId> = late.map(|r| r.1).collect();
+        let late = self.connecting.iter().take_while(|(opened_at, _)| now - opened_at >= self.options.way_up);
+        let late: Vec<ConnectionId> = late.map(|entry| entry.1).collect();
         late.iter().for_each(|id| self.close(*id));
         late
     }
 
-    /// When [`Gate::overdue`] is due next.
+    /// Returns the time at which [`Gate::overdue`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.rising.first().map(|(since, _)| since + self.options.way_up)
+        self.connecting.first().map(|(opened_at, _)| opened_at + self.options.way_up)
     }
 
-    /// A command came, with so many bytes of data; it is held from now on, unless a limit is reached.
+    /// Accounts for a command with `bytes` of data, which is held from now on unless a limit is reached.
     ///
     /// # Errors
-    /// The limit: the command is not to be taken.
+    /// The limit that was reached; the command must not be processed.
     pub fn take(&mut self, id: ConnectionId, bytes: u64) -> Result<(), Over> {
-        let Some(c) = self.connections.get_mut(&id) else { return Ok(()) };
-        let none = Held::default();
-        let held = c.host.as_ref().and_then(|h| self.hosts.get(h)).unwrap_or(&none);
-        let o = &self.options;
-        let over = if held.commands >= o.host_commands {
+        let Some(connection) = self.connections.get_mut(&id) else { return Ok(()) };
+        let no_usage = Usage::default();
+        let host_usage = connection.host.as_ref().and_then(|host| self.hosts.get(host)).unwrap_or(&no_usage);
+        let options = &self.options;
+        let over = if host_usage.commands >= options.host_commands {
             Some(Over::HostCommands)
-        } else if self.all.commands >= o.commands {
+        } else if self.total.commands >= options.commands {
             Some(Over::Commands)
-        } else if held.bytes + bytes > o.host_bytes {
+        } else if host_usage.bytes + bytes > options.host_bytes {
             Some(Over::HostBytes)
-        } else if self.all.bytes + bytes > o.bytes {
+        } else if self.total.bytes + bytes > options.bytes {
             Some(Over::Bytes)
         } else {
             None
         };
         if let Some(over) = over {
-            *self.turned_away.entry(over).or_default() += 1;
+            *self.rejections.entry(over).or_default() += 1;
             return Err(over);
         }
-        (c.commands, c.bytes) = (c.commands + 1, c.bytes + bytes);
-        (self.all.commands, self.all.bytes) = (self.all.commands + 1, self.all.bytes + bytes);
-        if let Some(held) = c.host.as_ref().and_then(|h| self.hosts.get_mut(h)) {
-            (held.commands, held.bytes) = (held.commands + 1, held.bytes + bytes);
+        (connection.commands, connection.bytes) = (connection.commands + 1, connection.bytes + bytes);
+        (self.total.commands, self.total.bytes) = (self.total.commands + 1, self.total.bytes + bytes);
+        if let Some(usage) = connection.host.as_ref().and_then(|host| self.hosts.get_mut(host)) {
+            (usage.commands, usage.bytes) = (usage.commands + 1, usage.bytes + bytes);
         }
         Ok(())
     }
 
-    /// A command that was taken has its answer.
+    /// Releases a command that was accounted for, once it is answered.
     pub fn done(&mut self, id: ConnectionId, bytes: u64) {
-        let Some(c) = self.connections.get_mut(&id) else { return };
-        (c.commands, c.bytes) = (c.commands - 1, c.bytes - bytes);
-        (self.all.commands, self.all.bytes) = (self.all.commands - 1, self.all.bytes - bytes);
-        if let Some(held) = c.host.as_ref().and_then(|h| self.hosts.get_mut(h)) {
-            (held.commands, held.bytes) = (held.commands - 1, held.bytes - bytes);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        (connection.commands, connection.bytes) = (connection.commands - 1, connection.bytes - bytes);
+        (self.total.commands, self.total.bytes) = (self.total.commands - 1, self.total.bytes - bytes);
+        if let Some(usage) = connection.host.as_ref().and_then(|host| self.hosts.get_mut(host)) {
+            (usage.commands, usage.bytes) = (usage.commands - 1, usage.bytes - bytes);
         }
     }
 
-    /// Connections kept, and of these on their way up.
+    /// Returns the number of connections, and how many of them are not established yet.
     pub fn connections(&self) -> (usize, usize) {
-        (self.all.connections, self.rising.len())
+        (self.total.connections, self.connecting.len())
     }
 
-    /// Commands and bytes held.
+    /// Returns the number of commands and bytes held.
     pub fn held(&self) -> (usize, u64) {
-        (self.all.commands, self.all.bytes)
+        (self.total.commands, self.total.bytes)
     }
 
-    /// Hosts with connections.
+    /// Returns the number of hosts with established connections.
     pub fn hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    /// What was turned away, by limit.
+    /// Returns the number of rejected connections and commands, by limit.
     pub fn turned_away(&self) -> &BTreeMap<Over, u64> {
-        &self.turned_away
+        &self.rejections
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,11 +1,12 @@
-//! Limits of the gateway itself: which connections it keeps, how many commands and bytes it holds for each host, and whose
-//! command it takes next.
+//! Admission limits of a gateway: which connections it accepts, how many commands and bytes it holds for each
+//! host, and which client's command it processes next.
 //!
-//! Nothing here is about requests: which node, when, how often, refused or failed is the decision module's. This package only
-//! decides what may come in, before it becomes a request. It has no clock, socket or thread: it takes `now` and events.
+//! The limits apply before a command becomes a request; what happens to requests is decided by the scheduler.
+//! This package has no clock, sockets or threads: callers pass in `now` and events.
 //!
-//! - [`Gate`]: connections, by address and in all; those that never complete their way up; commands and bytes, by host and in all.
-//! - [`Turns`]: whose command is taken next, so that a host with 64 queues does not starve one with a single queue.
+//! - [`Gate`]: limits on connections, by address and in total, with a timeout for connections that are never
+//!   established; limits on commands and bytes, by host and in total.
+//! - [`Turns`]: a fair queue of commands, so that a host with 64 queues does not starve a host with one.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/limits/src/turns.rs
+++ b/crates/limits/src/turns.rs
@@ -1,90 +1,94 @@
-//! Whose command is next.
+//! A fair queue: deficit round robin over clients.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// What waits of one client.
+/// The waiting items of one client.
 #[derive(Debug)]
-struct Line<T> {
-    waiting: VecDeque<(u64, T)>,
-    credit: u64,
+struct ClientQueue<T> {
+    /// Items with their costs.
+    items: VecDeque<(u64, T)>,
+    /// Cost that the client may still use in its turn.
+    deficit: u64,
 }
 
-/// Deficit round robin (Shreedhar and Varghese, 1996): each client that waits gets the same quantum of cost in its turn,
-/// whatever the number and size of its commands; what it does not use of a turn it keeps for the next, as long as it
-/// waits. One client's items stay in their order.
+/// A queue with deficit round robin (Shreedhar and Varghese, 1996): each waiting client may use the same
+/// quantum of cost per round, whatever the number and size of its items, and carries what it does not use
+/// over to the next round while it waits. The items of one client stay in order.
 ///
-/// Danger: the engine took commands in the order of arrival, so one host with 64 full queues stood before everybody else by
-/// 8,192 commands. Harm: a host alone loses nothing; among several, the greedy one waits.
+/// With a queue in order of arrival, one host with 64 full queues was ahead of all others by 8,192 commands.
+/// A single host loses nothing by fair queueing; among several hosts, the one with the most commands waits
+/// longer.
 #[derive(Debug)]
 pub struct Turns<K, T> {
     quantum: u64,
-    lines: HashMap<K, Line<T>>,
-    /// Clients that wait, by turn; the first has its turn.
-    order: VecDeque<K>,
+    queues: HashMap<K, ClientQueue<T>>,
+    /// Clients with waiting items, in round-robin order; the first is being served.
+    active: VecDeque<K>,
     len: usize,
 }
 
 impl<K: Clone + Eq + Hash, T> Turns<K, T> {
-    /// `quantum` is the cost that a client may use in one turn; not 0.
+    /// Creates an empty queue. `quantum` is the cost that a client may use in one round; 0 counts as 1.
     pub fn new(quantum: u64) -> Self {
-        Turns { quantum: quantum.max(1), lines: HashMap::new(), order: VecDeque::new(), len: 0 }
+        Turns { quantum: quantum.max(1), queues: HashMap::new(), active: VecDeque::new(), len: 0 }
     }
 
-    /// Items that wait.
+    /// Number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no items are waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// An item of a client's, at a cost.
+    /// Appends an item with its cost to a client's queue.
     pub fn push(&mut self, client: K, cost: u64, item: T) {
         self.len += 1;
-        if let Some(line) = self.lines.get_mut(&client) {
-            line.waiting.push_back((cost, item));
+        if let Some(queue) = self.queues.get_mut(&client) {
+            queue.items.push_back((cost, item));
             return;
         }
-        let line = Line { waiting: VecDeque::from([(cost, item)]), credit: self.quantum };
-        self.lines.insert(client.clone(), line);
-        self.order.push_back(client);
+        let queue = ClientQueue { items: VecDeque::from([(cost, item)]), deficit: self.quantum };
+        self.queues.insert(client.clone(), queue);
+        self.active.push_back(client);
     }
 
-    /// The next item, by turns.
+    /// Removes and returns the next item in deficit-round-robin order.
     pub fn pop(&mut self) -> Option<T> {
         loop {
-            let client = self.order.front()?;
-            let line = self.lines.get_mut(client)?;
-            let cost = line.waiting.front()?.0;
-            if cost > line.credit {
-                // Its turn is over; it comes again with more. A large item waits for as many turns as it needs.
-                line.credit += self.quantum;
-                self.order.rotate_left(1);
+            let client = self.active.front()?;
+            let queue = self.queues.get_mut(client)?;
+            let cost = queue.items.front()?.0;
+            if cost > queue.deficit {
+                // The client has used up its turn. A large item waits until enough rounds have added to the
+                // deficit.
+                queue.deficit += self.quantum;
+                self.active.rotate_left(1);
                 continue;
             }
-            line.credit -= cost;
+            queue.deficit -= cost;
             self.len -= 1;
-            let item = line.waiting.pop_front().map(|w| w.1);
-            if line.waiting.is_empty() {
-                let client = self.order.pop_front()?;
-                self.lines.remove(&client);
+            let item = queue.items.pop_front().map(|entry| entry.1);
+            if queue.items.is_empty() {
+                let client = self.active.pop_front()?;
+                self.queues.remove(&client);
             }
             return item;
         }
     }
 
-    /// Takes out the first item of a client's that fits.
-    pub fn remove(&mut self, client: &K, fits: impl Fn(&T) -> bool) -> Option<T> {
-        let line = self.lines.get_mut(client)?;
-        let index = line.waiting.iter().position(|w| fits(&w.1))?;
-        let item = line.waiting.remove(index).map(|w| w.1);
+    /// Removes and returns the first item of a client for which `matches` returns true.
+    pub fn remove(&mut self, client: &K, matches: impl Fn(&T) -> bool) -> Option<T> {
+        let queue = self.queues.get_mut(client)?;
+        let index = queue.items.iter().position(|entry| matches(&entry.1))?;
+        let item = queue.items.remove(index).map(|entry| entry.1);
         self.len -= 1;
-        if line.waiting.is_empty() {
-            self.lines.remove(client);
-            self.order.retain(|c| c != client);
+        if queue.items.is_empty() {
+            self.queues.remove(client);
+            self.active.retain(|active| active != client);
         }
         item
     }
