--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/answer.rs
@@ -1,61 +1,63 @@
-//! What servers answer.
+//! Decoding of responses.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
 use crate::fault::Fault;
 use crate::fields::Fields;
-use crate::request::keeps;
+use crate::request::keeps_alive;
 use crate::{FIELDS, Limits};
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Its status.
+    /// Status code.
     pub status: u16,
     /// Header fields.
     pub fields: Fields,
     /// Body.
     pub body: Bytes,
-    /// The server keeps the connection.
+    /// The server keeps the connection open.
     pub keep: bool,
 }
 
-/// Reads one answer after the other. An answer that does not state where it ends lasts until its connection ends, in order
-/// ([`AnswerDecoder::end`]); after a reset nobody can tell whether it was whole, and it is not.
+/// Decodes the responses on a connection. A response without a stated length ends with the orderly close of
+/// the connection ([`AnswerDecoder::end`]). After a reset it is unknown whether such a response was complete,
+/// so it counts as incomplete.
 #[derive(Clone, Debug)]
 pub struct AnswerDecoder {
     limits: Limits,
     input: BytesMut,
     current: Option<(Answer, Body)>,
+    /// Number of 1xx responses since the last final response.
     informational: u32,
 }
 
 impl AnswerDecoder {
-    /// One that has read nothing.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         AnswerDecoder { limits, input: BytesMut::new(), current: None, informational: 0 }
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes that were taken in and are not part of an answer given out.
+    /// Number of received bytes that are not part of a returned response.
     pub fn held(&self) -> usize {
         self.input.len() + self.current.as_ref().map_or(0, |(_, body)| body.held())
     }
 
-    /// Nothing has come behind the last answer.
+    /// Whether nothing has been received after the last returned response.
     pub fn is_between(&self) -> bool {
         self.current.is_none() && self.input.is_empty()
     }
 
-    /// An answer, once it is whole. Those of the 1xx class are passed over.
+    /// Returns the next response once it is complete. 1xx responses are skipped.
     ///
     /// # Errors
-    /// It is no answer; the connection is to be closed.
+    /// The input is not a valid response; the connection must be closed.
     pub fn poll(&mut self) -> Result<Option<Answer>, Fault> {
         while self.current.is_none() {
             let Some(head) = head(&mut self.input, &self.limits)? else { return Ok(None) };
@@ -67,7 +69,7 @@
                 continue;
             }
             let framing = match framing(&head.fields, &self.limits)? {
-                // These have no body, whatever their fields say.
+                // Responses with these status codes have no body, whatever their header fields say.
                 _ if matches!(head.status, 204 | 304) => Framing::Length(0),
                 Framing::Unstated => Framing::UntilEnd,
                 stated => stated,
@@ -78,21 +80,22 @@
         let Some((_, body)) = &mut self.current else { return Ok(None) };
         let Some(bytes) = body.read(&mut self.input, &self.limits)? else { return Ok(None) };
         self.informational = 0;
-        Ok(self.current.take().map(|(mut answer, _)| {
-            answer.body = bytes;
-            answer
+        Ok(self.current.take().map(|(mut response, _)| {
+            response.body = bytes;
+            response
         }))
     }
 
-    /// The connection ended in order, and everything that came on it was [polled](AnswerDecoder::poll): the answer that ends
-    /// with it, if one does. What states its length and is short of it is none.
+    /// Returns the response that ends with the orderly close of the connection, if there is one. All input
+    /// must have been [polled](AnswerDecoder::poll) before. A response that is shorter than its stated length
+    /// is discarded.
     pub fn end(&mut self) -> Option<Answer> {
-        let (answer, body) = self.current.take()?;
-        Some(Answer { body: body.end()?, ..answer })
+        let (response, body) = self.current.take()?;
+        Some(Answer { body: body.end()?, ..response })
     }
 }
 
-/// The head of an answer, once it is there, taken off the input.
+/// Takes the head of a response off the input once it is complete.
 pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Answer>, Fault> {
     if input.is_empty() {
         return Ok(None);
@@ -112,6 +115,6 @@
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else { return Err(Fault::Head) };
     let fields = Fields::read(parsed.headers);
     input.advance(length);
-    let keep = keeps(version, &fields);
+    let keep = keeps_alive(version, &fields);
     Ok(Some(Answer { status, fields, body: Bytes::new(), keep }))
 }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,4 +1,4 @@
-//! How long a body is, and reading it.
+//! Framing and decoding of message bodies.
 
 use bytes::{Bytes, BytesMut};
 
@@ -12,14 +12,15 @@
 pub(crate) enum Framing {
     Length(usize),
     Chunked(Chunked),
-    /// Nothing says how long it is.
+    /// The head states no length.
     Unstated,
-    /// It lasts until its connection ends, in order: an answer without a length.
+    /// The body ends with an orderly close of the connection: a response without a length.
     UntilEnd,
 }
 
-/// The framing that a head states. Danger: two lengths, or a length beside a transfer coding, let a second message hide in
-/// the body of the first, so that a peer may read another message than we do. Harm: none; no honest peer sends that.
+/// Determines the framing that a head states. Two lengths, or a length together with a transfer coding, are
+/// rejected: they allow request smuggling, where a second message is hidden in the body of the first and
+/// peers read different messages. The check costs nothing, because legitimate peers do not send such heads.
 pub(crate) fn framing(fields: &Fields, limits: &Limits) -> Result<Framing, Fault> {
     let length = fields.only("content-length").map_err(|_| Fault::Framing)?;
     let coding = fields.only("transfer-encoding").map_err(|_| Fault::Framing)?;
@@ -35,7 +36,7 @@
             if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
                 return Err(Fault::Framing);
             }
-            // More digits than fit are a length that is too long, not one that cannot be read.
+            // A number with too many digits to parse is too long, not malformed.
             let text = std::str::from_utf8(digits).map_err(|_| Fault::Framing)?;
             match text.parse::<usize>() {
                 Ok(n) if n <= limits.body => Ok(Framing::Length(n)),
@@ -45,7 +46,7 @@
     }
 }
 
-/// A body on its way in.
+/// Decodes one body.
 #[derive(Clone, Debug)]
 pub(crate) struct Body {
     framing: Framing,
@@ -57,7 +58,7 @@
         Body { framing, bytes: BytesMut::new() }
     }
 
-    /// The body, once it is whole.
+    /// Returns the body once it is complete.
     pub(crate) fn read(&mut self, input: &mut BytesMut, limits: &Limits) -> Result<Option<Bytes>, Fault> {
         match &mut self.framing {
             Framing::Unstated => Ok(Some(Bytes::new())),
@@ -70,23 +71,24 @@
             }
             Framing::Length(length) => {
                 let length = *length;
-                // Once, in place of growing by and by: what is not written to is no memory yet.
+                // Reserve once instead of growing repeatedly; memory that is not written to is not yet
+                // allocated.
                 input.reserve(length.saturating_sub(input.len()));
                 Ok((input.len() >= length).then(|| input.split_to(length).freeze()))
             }
             Framing::Chunked(chunked) => {
-                let over = chunked.read(input, &mut self.bytes, limits.body, limits.head)?;
-                Ok(over.then(|| std::mem::take(&mut self.bytes).freeze()))
+                let is_complete = chunked.read(input, &mut self.bytes, limits.body, limits.head)?;
+                Ok(is_complete.then(|| std::mem::take(&mut self.bytes).freeze()))
             }
         }
     }
 
-    /// The connection ended in order: the body, if that is where it ends.
+    /// Returns the body if it ends with the orderly close of the connection.
     pub(crate) fn end(self) -> Option<Bytes> {
         matches!(self.framing, Framing::UntilEnd).then(|| self.bytes.freeze())
     }
 
-    /// Bytes taken in for a body that is not whole.
+    /// Number of bytes buffered for an incomplete body.
     pub(crate) fn held(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -4,47 +4,50 @@
 
 use crate::fault::Fault;
 
-/// Bytes of a chunk's line at most, extensions included.
-const LINE: usize = 256;
-/// Hexadecimal digits of a chunk's length at most.
-const DIGITS: usize = 8;
+/// Maximum length of a chunk's size line, including extensions, in bytes.
+const MAX_LINE_BYTES: usize = 256;
+/// Maximum number of hexadecimal digits in a chunk size.
+const MAX_SIZE_DIGITS: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Size,
+    /// Data of a chunk, with the number of bytes left.
     Data(usize),
-    /// The line end behind a chunk's data.
+    /// The CR LF after a chunk's data.
     DataEnd,
     Trailer,
-    Over,
+    Complete,
 }
 
-/// Reads a chunked body piece by piece.
+/// Decodes a chunked body incrementally.
 #[derive(Clone, Debug)]
 pub(crate) struct Chunked {
     state: State,
-    trailers: usize,
+    /// Bytes of trailers read.
+    trailer_bytes: usize,
 }
 
 impl Chunked {
     pub(crate) fn new() -> Self {
-        Chunked { state: State::Size, trailers: 0 }
+        Chunked { state: State::Size, trailer_bytes: 0 }
     }
 
-    /// Moves data from `input` to `out` as far as both allow; whether the body is over. `most`: bytes that `out` may hold.
+    /// Moves the data available in `input` to `out`, without the chunk framing. Returns whether the body is
+    /// complete. `out` may hold at most `max_bytes`; the trailers may have at most `max_trailer_bytes`.
     pub(crate) fn read(
         &mut self,
         input: &mut BytesMut,
         out: &mut BytesMut,
-        most: usize,
-        trailers: usize,
+        max_bytes: usize,
+        max_trailer_bytes: usize,
     ) -> Result<bool, Fault> {
         loop {
             match self.state {
                 State::Size => {
                     let Some(line) = line(input)? else { return Ok(false) };
                     let size = size(&line)?;
-                    if size > most.saturating_sub(out.len()) {
+                    if size > max_bytes.saturating_sub(out.len()) {
                         return Err(Fault::BodyTooLong);
                     }
                     self.state = if size == 0 { State::Trailer } else { State::Data(size) };
@@ -74,24 +77,25 @@
                 }
                 State::Trailer => {
                     let Some(line) = line(input)? else { return Ok(false) };
-                    self.trailers += line.len();
-                    if self.trailers > trailers {
+                    self.trailer_bytes += line.len();
+                    if self.trailer_bytes > max_trailer_bytes {
                         return Err(Fault::HeadTooLong);
                     }
                     if line.is_empty() {
-                        self.state = State::Over;
+                        self.state = State::Complete;
                     }
                 }
-                State::Over => return Ok(true),
+                State::Complete => return Ok(true),
             }
         }
     }
 }
 
-/// A line without its end, which must be CR LF.
+/// Takes a line, which must end with CR LF, off the input and returns it without its end. Returns `None` if
+/// the line is incomplete.
 fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
-    let Some(end) = input.iter().take(LINE + 2).position(|&b| b == b'\n') else {
-        return if input.len() > LINE { Err(Fault::Chunk) } else { Ok(None) };
+    let Some(end) = input.iter().take(MAX_LINE_BYTES + 2).position(|&b| b == b'\n') else {
+        return if input.len() > MAX_LINE_BYTES { Err(Fault::Chunk) } else { Ok(None) };
     };
     if end == 0 || input[end - 1] != b'\r' {
         return Err(Fault::Chunk);
@@ -101,11 +105,12 @@
     Ok(Some(line))
 }
 
+/// Parses the size of a chunk; extensions are ignored.
 fn size(line: &[u8]) -> Result<usize, Fault> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let rest = &line[digits..];
-    let ends = rest.is_empty() || rest.trim_ascii_start().first() == Some(&b';');
-    if digits == 0 || digits > DIGITS || !ends {
+    let ends_properly = rest.is_empty() || rest.trim_ascii_start().first() == Some(&b';');
+    if digits == 0 || digits > MAX_SIZE_DIGITS || !ends_properly {
         return Err(Fault::Chunk);
     }
     let text = std::str::from_utf8(&line[..digits]).map_err(|_| Fault::Chunk)?;
--- a/crates/http1/src/fault.rs
+++ b/crates/http1/src/fault.rs
@@ -1,36 +1,37 @@
-//! Why a peer's bytes cannot be read as HTTP/1.1.
+//! Decoding errors.
 
-/// Why a peer's bytes cannot be read as HTTP/1.1. Nothing behind a fault can be trusted: the connection is to be closed.
+/// Why bytes cannot be decoded as HTTP/1.1. Nothing after the error can be trusted: the connection must be
+/// closed. Servers send the message to the client as the body of the error response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Not a head.
+    /// The head of the message is malformed.
     #[error("the head cannot be read")]
     Head,
-    /// The head does not end.
+    /// The head, or the trailers of a chunked body, exceed the limit.
     #[error("the head is longer than allowed, or has too many fields")]
     HeadTooLong,
-    /// Not HTTP/1.0 or 1.1.
+    /// The version is neither HTTP/1.0 nor HTTP/1.1.
     #[error("this version of HTTP is not spoken here")]
     Version,
-    /// A length that is no number, given twice, or given beside a transfer coding.
+    /// The content length is not a number, or is given twice or together with a transfer coding.
     #[error("the length of the body can be read in more than one way, or in none")]
     Framing,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not `chunked`.
     #[error("this transfer coding is not known here")]
     Coding,
-    /// The body is longer than allowed.
+    /// The body exceeds the limit.
     #[error("the body is longer than allowed")]
     BodyTooLong,
-    /// A chunk that cannot be read.
+    /// A chunk of the body is malformed.
     #[error("the body's chunks cannot be read")]
     Chunk,
-    /// Too many 1xx answers.
+    /// There are too many 1xx responses before the final one, or one with status 101.
     #[error("too many answers of the 1xx class")]
     Informational,
 }
 
 impl Fault {
-    /// The status that tells a client.
+    /// Returns the status code with which a server reports the error to its client.
     pub fn status(self) -> u16 {
         match self {
             Fault::HeadTooLong => 431,
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -2,30 +2,31 @@
 
 use bytes::Bytes;
 
-/// A field that may be given once is there more often.
+/// A header field that may appear only once appears more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a header field is given more than once")]
+#[error("a header field appears more than once")]
 pub struct Repeated;
 
-/// The header fields of a message, in their order; names are matched without case.
+/// The header fields of a message in their order, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, Bytes)>);
 
 impl Fields {
+    /// Copies parsed header fields and converts their names to lower case.
     pub(crate) fn read(parsed: &[httparse::Header<'_>]) -> Self {
         let field = |h: &httparse::Header<'_>| (h.name.to_ascii_lowercase(), Bytes::copy_from_slice(h.value));
         Fields(parsed.iter().map(field).collect())
     }
 
-    /// Every value of a field. `name` is in lower case.
+    /// Returns all values of a field. `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.0.iter().filter(move |(n, _)| n == name).map(|(_, v)| &v[..])
     }
 
-    /// The value of a field that may be given once, if it is there. `name` is in lower case.
+    /// Returns the value of a field that may appear only once. `name` must be in lower case.
     ///
     /// # Errors
-    /// It is there more often.
+    /// The field appears more than once.
     pub fn only<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, Repeated> {
         let mut values = self.all(name);
         match (values.next(), values.next()) {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether a list field holds a word, without case.
+    /// Whether a comma-separated list field contains a word, ignoring case.
     pub fn lists(&self, name: &str, word: &str) -> bool {
         self.all(name).any(|v| {
             v.split(|&b| b == b',').any(|item| item.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 without I/O: bytes in, messages out, within stated limits.
+//! HTTP/1.1 without I/O: decoders that turn bytes into messages within given limits, and encoders.
 //!
-//! [`RequestDecoder`] reads what clients send, [`AnswerDecoder`] what servers answer, [`StreamDecoder`] an answer that stays
-//! open and brings data. A message is given out once it is whole. Framing that can be read in two ways is a [`Fault`],
-//! never a guess. It is not a server or a client: it holds no socket, no clock and no connection's fate.
+//! [`RequestDecoder`] reads requests, [`AnswerDecoder`] reads responses, and [`StreamDecoder`] reads a
+//! response whose body is processed as it arrives. The first two return a message once it is complete.
+//! Ambiguous framing is a [`Fault`], never guessed at. The package is neither a server nor a client: it has
+//! no sockets and no clock, and manages no connections.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -23,16 +24,16 @@
 pub use stream::StreamDecoder;
 pub use write::{answer, answer_head, request};
 
-/// What a peer may send at most.
+/// Limits on what a peer may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a message's head, and of the trailers behind a chunked body.
+    /// Bytes of a message's head, and of the trailers after a chunked body.
     pub head: usize,
     /// Bytes of a body.
     pub body: usize,
-    /// Answers of the 1xx class ahead of the one that counts.
+    /// Number of 1xx responses before a final response.
     pub informational: u32,
 }
 
-/// Header fields of a head at most.
+/// Maximum number of header fields in a message.
 pub const FIELDS: usize = 64;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,4 +1,4 @@
-//! What clients send.
+//! Decoding of requests.
 
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -7,84 +7,87 @@
 use crate::fields::Fields;
 use crate::{FIELDS, Limits};
 
-/// A request, whole.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// Method.
     pub method: String,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub target: String,
     /// Header fields.
     pub fields: Fields,
     /// Body.
     pub body: Bytes,
-    /// The client may send another one on this connection.
+    /// The client may send another request on the connection.
     pub keep: bool,
 }
 
-/// What came in.
+/// An event of a [`RequestDecoder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// The client waits to be told to go on before it sends the body.
+    /// The client expects a `100 Continue` response before it sends the body.
     Waits,
-    /// A request, whole.
+    /// A complete request.
     Whole(Request),
 }
 
-/// Reads requests, one after the other.
+/// Decodes the requests on a connection.
 #[derive(Clone, Debug)]
 pub struct RequestDecoder {
     limits: Limits,
     input: BytesMut,
+    /// The request being read, its body, and whether its client is still to be sent `100 Continue`.
     current: Option<(Request, Body, bool)>,
 }
 
 impl RequestDecoder {
-    /// One that has read nothing.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         RequestDecoder { limits, input: BytesMut::new(), current: None }
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes that were taken in and are not part of a message given out.
+    /// Number of received bytes that are not part of a returned request.
     pub fn held(&self) -> usize {
         self.input.len() + self.current.as_ref().map_or(0, |(_, body, _)| body.held())
     }
 
-    /// Nothing of a further request has come.
+    /// Whether no part of another request has been received.
     pub fn is_between(&self) -> bool {
         self.current.is_none() && self.input.is_empty()
     }
 
-    /// What has come in, if it is enough for anything.
+    /// Returns the next event, or `None` if more input is needed.
     ///
     /// # Errors
-    /// It is no request; the connection is to be closed.
+    /// The input is not a valid request; the connection must be closed.
     pub fn poll(&mut self) -> Result<Option<Incoming>, Fault> {
         if self.current.is_none() {
-            let Some((request, framing, waits)) = self.head()? else { return Ok(None) };
+            let Some((request, framing, expects_continue)) = self.head()? else { return Ok(None) };
             let body = match framing {
-                // A request that states no length has no body.
+                // A request without a stated length has no body.
                 Framing::Unstated => Body::new(Framing::Length(0)),
                 stated => Body::new(stated),
             };
-            self.current = Some((request, body, waits));
+            self.current = Some((request, body, expects_continue));
         }
-        let Some((_, body, waits)) = &mut self.current else { return Ok(None) };
+        let Some((_, body, expects_continue)) = &mut self.current else { return Ok(None) };
         match body.read(&mut self.input, &self.limits)? {
             Some(bytes) => Ok(self.current.take().map(|(mut request, _, _)| {
                 request.body = bytes;
                 Incoming::Whole(request)
             })),
-            None if std::mem::take(waits) && self.input.is_empty() => Ok(Some(Incoming::Waits)),
+            None if std::mem::take(expects_continue) && self.input.is_empty() => Ok(Some(Incoming::Waits)),
             None => Ok(None),
         }
     }
 
+    /// Takes the head of a request off the input once it is complete; returns whether the client expects `100
+    /// Continue` as the last element.
     fn head(&mut self) -> Result<Option<(Request, Framing, bool)>, Fault> {
         if self.input.is_empty() {
             return Ok(None);
@@ -107,16 +110,17 @@
             return Err(Fault::Head);
         };
         let fields = Fields::read(parsed.headers);
-        let (framing, keep) = (framing(&fields, &self.limits)?, keeps(version, &fields));
-        let waits = version == 1 && fields.lists("expect", "100-continue");
+        let (framing, keep) = (framing(&fields, &self.limits)?, keeps_alive(version, &fields));
+        let expects_continue = version == 1 && fields.lists("expect", "100-continue");
         let (method, target) = (method.to_owned(), target.to_owned());
         self.input.advance(length);
-        Ok(Some((Request { method, target, fields, body: Bytes::new(), keep }, framing, waits)))
+        Ok(Some((Request { method, target, fields, body: Bytes::new(), keep }, framing, expects_continue)))
     }
 }
 
-/// Whether a peer of this version keeps its connection.
-pub(crate) fn keeps(version: u8, fields: &Fields) -> bool {
+/// Whether a peer with this minor version and these header fields keeps the connection open after the
+/// message.
+pub(crate) fn keeps_alive(version: u8, fields: &Fields) -> bool {
     match version {
         1 => !fields.lists("connection", "close"),
         _ => fields.lists("connection", "keep-alive") && !fields.lists("connection", "close"),
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -1,4 +1,4 @@
-//! An answer that stays open and brings data for as long as it lasts.
+//! Decoding of responses whose body is processed as it arrives.
 
 use bytes::{Bytes, BytesMut};
 
@@ -10,52 +10,53 @@
 enum State {
     Head,
     Body(Framing),
-    Over,
+    Complete,
 }
 
-/// Reads the body of an answer piece by piece as it comes. How it is cut into pieces, chunks or lines means nothing: whoever reads it
-/// finds its messages, and holds each against a limit. The limit on a body does not count here, as a stream has no length.
+/// Decodes the body of a response as it arrives. The boundaries of the returned pieces have no meaning: the
+/// caller must find the messages in the stream and limit their size. The limit on the length of a body does
+/// not apply to streams.
 pub struct StreamDecoder {
     limits: Limits,
     input: BytesMut,
     state: State,
     status: Option<u16>,
-    /// What ends it, behind what came before that.
+    /// The error that ends the stream. It is returned after the data that was received before it.
     fault: Option<Fault>,
 }
 
 impl StreamDecoder {
-    /// One that has read nothing.
+    /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         let limits = Limits { body: usize::MAX, ..limits };
         StreamDecoder { limits, input: BytesMut::new(), state: State::Head, status: None, fault: None }
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// The answer's status, once it is known.
+    /// Returns the status code of the response once it is known.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// The answer has ended.
+    /// Whether the response is complete.
     pub fn is_over(&self) -> bool {
-        matches!(self.state, State::Over)
+        matches!(self.state, State::Complete)
     }
 
-    /// What has come of the body since the last call; none if nothing has.
+    /// Returns the data of the body received since the last call, or `None` if there is none.
     ///
     /// # Errors
-    /// It is no answer; the connection is to be closed.
+    /// The input is not a valid response; the connection must be closed.
     pub fn poll(&mut self) -> Result<Option<Bytes>, Fault> {
         let mut piece = BytesMut::new();
         while self.fault.is_none() {
-            let before = (piece.len(), self.input.len());
+            let lengths_before = (piece.len(), self.input.len());
             self.fault = self.advance(&mut piece).err();
-            if before == (piece.len(), self.input.len()) {
+            if lengths_before == (piece.len(), self.input.len()) {
                 break;
             }
         }
@@ -65,19 +66,20 @@
         }
     }
 
+    /// Decodes the next element of the input, if it is complete, and appends body data to `piece`.
     fn advance(&mut self, piece: &mut BytesMut) -> Result<(), Fault> {
         match &mut self.state {
             State::Head => {
-                if let Some(answer) = head(&mut self.input, &self.limits)?
-                    && !(100..200).contains(&answer.status)
+                if let Some(response) = head(&mut self.input, &self.limits)?
+                    && !(100..200).contains(&response.status)
                 {
-                    self.status = Some(answer.status);
-                    self.state = State::Body(framing(&answer.fields, &self.limits)?);
+                    self.status = Some(response.status);
+                    self.state = State::Body(framing(&response.fields, &self.limits)?);
                 }
             }
             State::Body(Framing::Chunked(chunked)) => {
                 if chunked.read(&mut self.input, piece, usize::MAX, self.limits.head)? {
-                    self.state = State::Over;
+                    self.state = State::Complete;
                 }
             }
             State::Body(Framing::Length(left)) => {
@@ -85,13 +87,13 @@
                 piece.extend_from_slice(&self.input.split_to(n));
                 *left -= n;
                 if *left == 0 {
-                    self.state = State::Over;
+                    self.state = State::Complete;
                 }
             }
             State::Body(Framing::Unstated | Framing::UntilEnd) => {
                 piece.extend_from_slice(&self.input.split())
             }
-            State::Over => {}
+            State::Complete => {}
         }
         Ok(())
     }
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -1,29 +1,31 @@
-//! Messages as bytes.
+//! Encoding of messages.
 
 use std::fmt::Write;
 
 use bytes::{Bytes, BytesMut};
 
-/// An answer with its length. `fields`: names and values beside the framing's own.
+/// Encodes a response with its content length. `fields` are names and values of further header fields.
 pub fn answer(status: u16, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160 + body.len());
-    head(&mut out, status, body.len());
+    write_status_and_length(&mut out, status, body.len());
     finish(out, fields, body, keep)
 }
 
-/// The head of an answer whose body of `length` bytes follows it.
+/// Encodes the head of a response whose body of `length` bytes is sent separately.
 pub fn answer_head(status: u16, fields: &[(&str, &str)], length: usize, keep: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160);
-    head(&mut out, status, length);
+    write_status_and_length(&mut out, status, length);
     finish(out, fields, &[], keep)
 }
 
-fn head(out: &mut BytesMut, status: u16, length: usize) {
-    // Writing to memory does not fail.
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason(status));
+/// Writes the status line and the content length.
+fn write_status_and_length(out: &mut BytesMut, status: u16, length: usize) {
+    // Writing to memory cannot fail.
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason_phrase(status));
 }
 
-/// A request. One without a body states no length.
+/// Encodes a request. The content length is left out if the body is empty and the method is neither PUT nor
+/// POST.
 pub fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(256 + body.len());
     let _ = write!(out, "{method} {target} HTTP/1.1\r\n");
@@ -33,6 +35,7 @@
     finish(out, fields, body, true)
 }
 
+/// Appends the header fields, the end of the head and the body.
 fn finish(mut out: BytesMut, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
     for (name, value) in fields {
         let _ = write!(out, "{name}: {value}\r\n");
@@ -42,7 +45,7 @@
     out.freeze()
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,49 +1,49 @@
-//! What is read, what is turned down, and that neither depends on how the bytes are cut.
+//! Which messages are accepted and which are rejected, and that neither depends on how the input is split.
 
 use http1::*;
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits { head: 2048, body: 4096, informational: 3 };
 
-/// All that a decoder gives out of pieces, and the fault that ends it.
-fn read<D, T>(
+/// Feeds the chunks to a decoder; returns everything that it decodes, and the error that ends it.
+fn decode<D, T>(
     mut decoder: D,
     chunks: &[&[u8]],
     receive: fn(&mut D, &[u8]),
     poll: fn(&mut D) -> Result<Option<T>, Fault>,
 ) -> (Vec<T>, Option<Fault>) {
-    let mut whole = Vec::new();
+    let mut decoded = Vec::new();
     for chunk in chunks {
         receive(&mut decoder, chunk);
         loop {
             match poll(&mut decoder) {
-                Ok(Some(part)) => whole.push(part),
+                Ok(Some(item)) => decoded.push(item),
                 Ok(None) => break,
-                Err(fault) => return (whole, Some(fault)),
+                Err(fault) => return (decoded, Some(fault)),
             }
         }
     }
-    (whole, None)
+    (decoded, None)
 }
 
 fn requests(chunks: &[&[u8]]) -> (Vec<Request>, Option<Fault>) {
-    let (parts, fault) =
-        read(RequestDecoder::new(LIMITS), chunks, RequestDecoder::receive, RequestDecoder::poll);
-    let whole = |part| match part {
+    let (events, fault) =
+        decode(RequestDecoder::new(LIMITS), chunks, RequestDecoder::receive, RequestDecoder::poll);
+    let complete = |event| match event {
         Incoming::Whole(request) => Some(request),
         Incoming::Waits => None,
     };
-    (parts.into_iter().filter_map(whole).collect(), fault)
+    (events.into_iter().filter_map(complete).collect(), fault)
 }
 
 fn answers(chunks: &[&[u8]]) -> (Vec<Answer>, Option<Fault>) {
-    read(AnswerDecoder::new(LIMITS), chunks, AnswerDecoder::receive, AnswerDecoder::poll)
+    decode(AnswerDecoder::new(LIMITS), chunks, AnswerDecoder::receive, AnswerDecoder::poll)
 }
 
-/// What a stream brings, put together.
+/// The concatenated data of a stream.
 fn streamed(chunks: &[&[u8]]) -> (Vec<u8>, Option<Fault>) {
     let (pieces, fault) =
-        read(StreamDecoder::new(LIMITS), chunks, StreamDecoder::receive, StreamDecoder::poll);
+        decode(StreamDecoder::new(LIMITS), chunks, StreamDecoder::receive, StreamDecoder::poll);
     (pieces.concat(), fault)
 }
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_may_state_its_length_once_and_only_so() {
+fn request_with_ambiguous_or_invalid_length_is_rejected() {
     let with = |fields: &str| request_fault(&format!("PUT /a HTTP/1.1\r\n{fields}\r\n"));
     assert_eq!(with("Content-Length: 2\r\nTransfer-Encoding: chunked\r\n"), Some(Fault::Framing));
     assert_eq!(with("Content-Length: 2\r\nContent-Length: 2\r\n"), Some(Fault::Framing));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn heads_that_cannot_be_read_or_never_end_are_faults() {
+fn malformed_and_endless_heads_are_rejected() {
     assert_eq!(request_fault("\u{1}\u{2}\u{3}\u{4}\r\n\r\n"), Some(Fault::Head));
     assert_eq!(request_fault("GET / HTTP/3.0\r\n\r\n"), Some(Fault::Version));
     assert_eq!(request_fault("GET / HTTP/1.1\r\nA : b\r\n\r\n"), Some(Fault::Head));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_client_that_waits_to_go_on_is_told_once_and_only_without_its_body() {
+fn expect_continue_is_reported_once_and_only_before_the_body() {
     let mut decoder = RequestDecoder::new(LIMITS);
     decoder.receive(b"PUT /a HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 3\r\n\r\n");
     assert_eq!(decoder.poll(), Ok(Some(Incoming::Waits)));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn connections_are_kept_as_the_version_and_the_fields_say() {
+fn keep_alive_follows_the_version_and_the_connection_field() {
     let keeps = |text: &str| requests(&[text.as_bytes()]).0[0].keep;
     assert!(keeps("GET / HTTP/1.1\r\n\r\n"));
     assert!(!keeps("GET / HTTP/1.1\r\nConnection: foo, Close\r\n\r\n"));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_answer_must_say_where_it_ends_in_one_way() {
+fn response_with_ambiguous_or_invalid_framing_is_rejected() {
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(answer_fault(both), Some(Fault::Framing));
     assert_eq!(
@@ -116,7 +116,7 @@
     assert!(answer_fault("noise that is no head\r\n\r\n").is_some());
     for chunks in ["x\r\n", "5\r\nabcdeX\r\n", "fffffffff\r\n", "2\nab\r\n", "\r\n", "1;\r\nab"] {
         let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
-        assert!(answer_fault(&text).is_some(), "{chunks:?} is taken");
+        assert!(answer_fault(&text).is_some(), "{chunks:?} is accepted");
     }
     let long = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n".to_owned()
         + &"x".repeat(0xfff)
@@ -125,17 +125,17 @@
 }
 
 #[test]
-fn answers_ahead_of_the_one_that_counts_are_passed_over_up_to_a_limit() {
-    let ahead = "HTTP/1.1 103 Early\r\nA: b\r\n\r\n";
-    let text = ahead.repeat(3) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+fn informational_responses_are_skipped_up_to_a_limit() {
+    let informational = "HTTP/1.1 103 Early\r\nA: b\r\n\r\n";
+    let text = informational.repeat(3) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let (whole, fault) = answers(&[text.as_bytes()]);
     assert_eq!((whole.len(), whole[0].status, fault), (1, 200, None));
-    assert_eq!(answer_fault(&ahead.repeat(4)), Some(Fault::Informational));
+    assert_eq!(answer_fault(&informational.repeat(4)), Some(Fault::Informational));
     assert_eq!(answer_fault("HTTP/1.1 101 Switching\r\n\r\n"), Some(Fault::Informational));
 }
 
 #[test]
-fn what_comes_behind_an_answer_shows() {
+fn input_after_a_response_is_detected() {
     let mut decoder = AnswerDecoder::new(LIMITS);
     decoder.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokH");
     assert!(matches!(decoder.poll(), Ok(Some(_))));
@@ -143,19 +143,23 @@
 }
 
 #[test]
-fn a_stream_brings_what_its_chunks_carry_as_it_comes_and_its_end_shows() {
+fn stream_returns_data_as_it_arrives_and_reports_its_end() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{a}\r\n4\r\n\n\r\nb\r\n1\r\n\n\r\n";
     let mut decoder = StreamDecoder::new(LIMITS);
     decoder.receive(text.as_bytes());
     assert_eq!(decoder.poll().expect("a piece").as_deref(), Some(&b"{a}\n\r\nb\n"[..]));
     assert_eq!((decoder.poll().expect("a stream"), decoder.is_over()), (None, false));
     decoder.receive(b"2\r\nc");
-    assert_eq!(decoder.poll().expect("a piece").as_deref(), Some(&b"c"[..]), "half of a chunk is there");
+    assert_eq!(
+        decoder.poll().expect("a piece").as_deref(),
+        Some(&b"c"[..]),
+        "the received half of a chunk is returned"
+    );
     decoder.receive(b"d\r\n0\r\n\r\n");
     assert_eq!(decoder.poll().expect("a piece").as_deref(), Some(&b"d"[..]));
     assert!(decoder.is_over());
     assert_eq!(decoder.status(), Some(200));
-    // A stream has no length to hold against a limit.
+    // The limit on the body length does not apply to streams.
     let endless = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(LIMITS.body * 3));
     assert_eq!(streamed(&[endless.as_bytes()]), (vec![b'x'; LIMITS.body * 3], None));
     assert_eq!(
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn encoded_messages_are_decoded_unchanged() {
     let wire = request("PUT", "/c/v/o?q=1", &[("Host", "h"), ("X-Request-ID", "7")], b"body");
     let (whole, fault) = requests(&[&wire]);
     assert_eq!((fault, whole.len()), (None, 1));
@@ -178,18 +182,19 @@
     assert_eq!(whole[0].fields.only("retry-after"), Ok(Some(&b"0.038"[..])));
 }
 
-/// Cuts bytes at the given places.
-fn cut<'a>(bytes: &'a [u8], places: &[prop::sample::Index]) -> Vec<&'a [u8]> {
-    let mut at: Vec<usize> = places.iter().map(|p| p.index(bytes.len() + 1)).collect();
-    at.extend([0, bytes.len()]);
-    at.sort_unstable();
-    at.windows(2).map(|w| &bytes[w[0]..w[1]]).collect()
+/// Splits bytes at the given positions.
+fn split_at<'a>(bytes: &'a [u8], positions: &[prop::sample::Index]) -> Vec<&'a [u8]> {
+    let mut bounds: Vec<usize> = positions.iter().map(|p| p.index(bytes.len() + 1)).collect();
+    bounds.extend([0, bytes.len()]);
+    bounds.sort_unstable();
+    bounds.windows(2).map(|w| &bytes[w[0]..w[1]]).collect()
 }
 
-fn places() -> impl Strategy<Value = Vec<prop::sample::Index>> {
+fn positions() -> impl Strategy<Value = Vec<prop::sample::Index>> {
     prop::collection::vec(any::<prop::sample::Index>(), 0..12)
 }
 
+/// Encodes a body in chunks of `size` bytes, with a chunk extension and a trailer.
 fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let mut out = Vec::new();
     for piece in body.chunks(size.max(1)) {
@@ -202,7 +207,7 @@
 }
 
 prop_compose! {
-    /// A message's fields and body, in either framing.
+    /// The framing field and the body of a message as sent, in either framing, and the plain body.
     fn framed()(body in prop::collection::vec(any::<u8>(), 0..300), size in 0..40usize) -> (Vec<u8>, Vec<u8>) {
         let wire = match size {
             0 => [format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes(), body.clone()].concat(),
@@ -214,13 +219,13 @@
 
 proptest! {
     #[test]
-    fn requests_are_the_same_however_they_are_cut(
+    fn decoded_requests_do_not_depend_on_how_the_input_is_split(
         parts in prop::collection::vec(framed(), 1..5),
-        places in places(),
+        positions in positions(),
     ) {
         let head = |n: usize| format!("PUT /{n} HTTP/1.1\r\nHost: h\r\n").into_bytes();
         let wire: Vec<u8> = parts.iter().enumerate().flat_map(|(n, p)| [head(n), p.0.clone()].concat()).collect();
-        let (whole, fault) = requests(&cut(&wire, &places));
+        let (whole, fault) = requests(&split_at(&wire, &positions));
         prop_assert_eq!(fault, None);
         prop_assert_eq!(whole.len(), parts.len());
         for (n, (request, part)) in whole.iter().zip(&parts).enumerate() {
@@ -230,9 +235,9 @@
     }
 
     #[test]
-    fn answers_are_the_same_however_they_are_cut(
+    fn decoded_responses_do_not_depend_on_how_the_input_is_split(
         parts in prop::collection::vec((framed(), 0..3usize), 1..5),
-        places in places(),
+        positions in positions(),
     ) {
         let mut wire = Vec::new();
         for ((framed, _), ahead) in &parts {
@@ -240,7 +245,7 @@
             wire.extend(b"HTTP/1.1 200 OK\r\n");
             wire.extend(framed);
         }
-        let (whole, fault) = answers(&cut(&wire, &places));
+        let (whole, fault) = answers(&split_at(&wire, &positions));
         prop_assert_eq!(fault, None);
         let bodies: Vec<&[u8]> = whole.iter().map(|a| &a.body[..]).collect();
         let sent: Vec<&[u8]> = parts.iter().map(|((_, body), _)| &body[..]).collect();
@@ -248,32 +253,32 @@
     }
 
     #[test]
-    fn a_stream_is_the_same_however_it_is_cut(
+    fn decoded_streams_do_not_depend_on_how_the_input_is_split(
         text in "[a-z\\n]{0,400}",
         size in 1..50usize,
-        places in places(),
+        positions in positions(),
     ) {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         let wire = [head, chunked(text.as_bytes(), size)].concat();
-        prop_assert_eq!(streamed(&cut(&wire, &places)), (text.into_bytes(), None));
+        prop_assert_eq!(streamed(&split_at(&wire, &positions)), (text.into_bytes(), None));
     }
 
     #[test]
-    fn whatever_comes_is_held_within_the_limits_and_reads_the_same_cut_or_not(
+    fn arbitrary_input_is_decoded_the_same_however_it_is_split(
         start in prop::sample::select(vec!["", "GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"]),
         noise in prop::collection::vec(prop_oneof![any::<u8>(), prop::sample::select(b"\r\n :0123abc".to_vec())], 0..600),
-        places in places(),
+        positions in positions(),
     ) {
         let wire = [start.as_bytes(), &noise].concat();
-        let pieces = cut(&wire, &places);
-        let (uncut, fault) = requests(&[&wire]);
-        let (seen, cut_fault) = requests(&pieces);
-        prop_assert_eq!(uncut, seen);
-        prop_assert_eq!(fault.is_some(), cut_fault.is_some());
-        let (uncut, fault) = answers(&[&wire]);
-        let (seen, cut_fault) = answers(&pieces);
-        prop_assert_eq!(uncut, seen);
-        prop_assert_eq!(fault.is_some(), cut_fault.is_some());
+        let pieces = split_at(&wire, &positions);
+        let (unsplit, fault) = requests(&[&wire]);
+        let (split, split_fault) = requests(&pieces);
+        prop_assert_eq!(unsplit, split);
+        prop_assert_eq!(fault.is_some(), split_fault.is_some());
+        let (unsplit, fault) = answers(&[&wire]);
+        let (split, split_fault) = answers(&pieces);
+        prop_assert_eq!(unsplit, split);
+        prop_assert_eq!(fault.is_some(), split_fault.is_some());
         prop_assert_eq!(streamed(&[&wire]).0, streamed(&pieces).0);
         let mut decoder = RequestDecoder::new(LIMITS);
         for piece in pieces {
@@ -285,22 +290,22 @@
     }
 }
 
-/// What an answer decoder makes of bytes and an orderly end behind them.
-fn ended(text: &str) -> Option<Answer> {
+/// Decodes input that an orderly close of the connection follows.
+fn decode_until_close(text: &str) -> Option<Answer> {
     let mut decoder = AnswerDecoder::new(LIMITS);
     decoder.receive(text.as_bytes());
     match decoder.poll() {
         Ok(None) => decoder.end(),
-        other => panic!("{text:?} is over before its connection: {other:?}"),
+        other => panic!("{text:?} ended before its connection: {other:?}"),
     }
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_where_its_connection_ends_and_never_before() {
-    let whole = ended("HTTP/1.1 200 OK\r\n\r\nall of it").expect("an answer");
+fn response_without_a_length_ends_with_the_connection() {
+    let whole = decode_until_close("HTTP/1.1 200 OK\r\n\r\nall of it").expect("a response");
     assert_eq!((&whole.body[..], whole.keep), (&b"all of it"[..], false));
-    assert_eq!(ended("HTTP/1.1 200 OK\r\n\r\n").expect("an empty one").body.len(), 0);
-    // It does not swallow its limit.
+    assert_eq!(decode_until_close("HTTP/1.1 200 OK\r\n\r\n").expect("an empty response").body.len(), 0);
+    // The limit on the body length applies.
     let mut decoder = AnswerDecoder::new(LIMITS);
     decoder.receive(b"HTTP/1.1 200 OK\r\n\r\n");
     decoder.receive(&vec![b'x'; LIMITS.body + 1]);
@@ -308,13 +313,13 @@
 }
 
 #[test]
-fn an_answer_that_states_its_length_and_is_cut_short_is_none_wherever_it_is_cut() {
+fn truncated_response_with_a_stated_length_is_discarded() {
     for whole in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n3\r\nfgh\r\n0\r\nA: b\r\n\r\n",
     ] {
-        for cut in 0..whole.len() {
-            assert_eq!(ended(&whole[..cut]), None, "cut at {cut} of {whole:?}");
+        for length in 0..whole.len() {
+            assert_eq!(decode_until_close(&whole[..length]), None, "truncated to {length} bytes: {whole:?}");
         }
     }
 }
