--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -7,7 +7,7 @@
 use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
 use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
 
-use crate::catalogue::{Catalogue, Part};
+use crate::catalogue::{Catalogue, Part, Volume};
 use crate::effect::{Effect, End, Send};
 use crate::operation::{Answer, Operation, Ticket};
 use crate::retry_demand::{RetryDemands, Wanted};
@@ -100,27 +100,7 @@
         };
         let bytes = u64::from(operation.blocks) * u64::from(volume.block_size);
         let class = self.catalogue.class(operation.opcode, bytes);
-        let patience = self.catalogue.rules[class].patience;
-        let parts: Vec<(Part, Request)> = volume
-            .parts(operation.slba, operation.blocks)
-            .into_iter()
-            .map(|part| {
-                let request = Request {
-                    id: RequestId(0),
-                    class,
-                    plan: volume.plan,
-                    volume: VolumeId(u64::from(volume.nsid)),
-                    key: (part.blocks > 0).then(|| volume.key(part.slba)),
-                    shard: Some(part.shard),
-                    units: self.catalogue.units(u64::from(part.blocks) * u64::from(volume.block_size)),
-                    hosts: volume.hosts,
-                    patience,
-                    retry: operation.retry,
-                    client: operation.client,
-                };
-                (part, request)
-            })
-            .collect();
+        let parts = self.split(volume, &operation, class);
         let block_size = volume.block_size;
         if let Some(view) = self.volume_views.get_mut(&operation.nsid) {
             view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
@@ -160,6 +140,31 @@
         self.carry_out_steps(effects);
     }
 
+    /// Splits an operation into its parts, each with its request.
+    fn split(&self, volume: &Volume, operation: &Operation, class: usize) -> Vec<(Part, Request)> {
+        let patience = self.catalogue.rules[class].patience;
+        volume
+            .parts(operation.slba, operation.blocks)
+            .into_iter()
+            .map(|part| {
+                let request = Request {
+                    id: RequestId(0),
+                    class,
+                    plan: volume.plan,
+                    volume: VolumeId(u64::from(volume.nsid)),
+                    key: (part.blocks > 0).then(|| volume.key(part.slba)),
+                    shard: Some(part.shard),
+                    units: self.catalogue.units(u64::from(part.blocks) * u64::from(volume.block_size)),
+                    hosts: volume.hosts,
+                    patience,
+                    retry: operation.retry,
+                    client: operation.client,
+                };
+                (part, request)
+            })
+            .collect()
+    }
+
     /// Withdraws an operation whose client has gone: it gets no answer and no more attempts. Returns whether
     /// any attempt had been sent.
     pub fn withdraw(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
