--- a/crates/capacity/src/parts/module.rs
+++ b/crates/capacity/src/parts/module.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use decisions::{Micros, Settings};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Outcome, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode, Outcome};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -53,11 +53,11 @@
     }
 
     fn carry_out(&mut self) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, .. } => self.out.push_back((self.now + LATENCY, attempt)),
-                Step::Over(..) => self.unserved += 1,
-                Step::Forget(..) | Step::Subscribe | Step::Log(_) => {}
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, .. } => self.out.push_back((self.now + LATENCY, attempt)),
+                Command::EndUnserved(..) => self.unserved += 1,
+                Command::Abandon(..) | Command::Subscribe | Command::Log(_) => {}
             }
         }
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
 use crate::effect::{Effect, End, Send};
@@ -137,7 +137,7 @@
                 last_outcome: None,
             },
         );
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Splits an operation into its parts, each with its request.
@@ -173,7 +173,7 @@
         let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
         self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
         was_sent
     }
 
@@ -187,7 +187,7 @@
         }
         self.tally.aborted += 1;
         self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
         true
     }
 
@@ -218,7 +218,7 @@
             self.remove_operation(ticket);
             effects.push(Effect::Answer(ticket, answer));
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
@@ -241,7 +241,7 @@
             open.pieces[index].state = PieceState::Served(end.data);
             self.answer_if_complete(ticket, effects);
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
@@ -255,14 +255,14 @@
     ) {
         self.advance(now);
         self.dispatcher.nodes(self.now, whole, remembered, listed);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Notifies the scheduler that fetching the node list failed.
     pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         self.dispatcher.nodes_failed(self.now);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
@@ -280,7 +280,7 @@
         self.advance(now);
         self.retry_demands.set_tokens(shard, further);
         self.dispatcher.allow(self.now, shard, further, come_back);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
@@ -320,7 +320,7 @@
     pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         while self.dispatcher.tick(self.now) {
-            self.carry_out_steps(effects);
+            self.carry_out_commands(effects);
         }
     }
 
@@ -329,22 +329,24 @@
         self.now = self.now.max(now);
     }
 
-    /// Carries out the dispatcher's steps until there are none left.
-    fn carry_out_steps(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => self.send(attempt, node, effects),
-                Step::Forget(attempt, node, outcome) => {
+    /// Carries out the dispatcher's commands until there are none left.
+    fn carry_out_commands(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => self.send(attempt, node, effects),
+                Command::Abandon(attempt, node, outcome) => {
                     if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
                         && let Some(open) = self.open.get_mut(&ticket)
                     {
                         open.last_outcome = Some(outcome);
                     }
-                    effects.push(Effect::Forget(attempt, node));
+                    effects.push(Effect::Abandon(attempt, node));
                 }
-                Step::Over(_, (ticket, index), verdict) => self.end_unserved(ticket, index, verdict, effects),
-                Step::Subscribe => effects.push(Effect::Subscribe),
-                Step::Log(line) => effects.push(Effect::Log(line)),
+                Command::EndUnserved(_, (ticket, index), verdict) => {
+                    self.end_unserved(ticket, index, verdict, effects)
+                }
+                Command::Subscribe => effects.push(Effect::Subscribe),
+                Command::Log(line) => effects.push(Effect::Log(line)),
             }
         }
     }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -12,7 +12,7 @@
     /// Send an attempt and report its end once.
     Send(Send),
     /// The attempt timed out or was cancelled. Its end need not be reported.
-    Forget(AttemptId, NodeId),
+    Abandon(AttemptId, NodeId),
     /// Deliver the final answer to an operation.
     Answer(Ticket, Answer),
     /// Subscribe to the node list for the scheduler.
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -36,7 +36,7 @@
                     assert!(!self.answers.iter().any(|a| a.0 == ticket), "{ticket:?} got two final answers");
                     self.answers.push((ticket, answer));
                 }
-                Effect::Forget(attempt, _) => self.in_flight.retain(|s| s.attempt != attempt),
+                Effect::Abandon(attempt, _) => self.in_flight.retain(|s| s.attempt != attempt),
                 _ => {}
             }
         }
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempt identifiers and the steps that the dispatcher asks its caller to carry out.
+//! Attempt identifiers and the commands that the dispatcher asks its caller to carry out.
 
 use decisions::{Micros, NodeId, Outcome, RequestId};
 
@@ -23,9 +23,10 @@
     Failed,
 }
 
-/// A step for the caller to carry out. Steps must be carried out in the order in which they are returned.
+/// A command for the caller to carry out. Commands must be carried out in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step<P> {
+pub enum Command<P> {
     /// Send an attempt now and report its end once. The dispatcher stops waiting for it at `due`.
     Send {
         /// The attempt to send.
@@ -37,9 +38,9 @@
     },
     /// The attempt is abandoned with this outcome: it timed out, was cancelled or was never sent. Its end
     /// need not be reported.
-    Forget(AttemptId, NodeId, Outcome),
+    Abandon(AttemptId, NodeId, Outcome),
     /// The final answer of a request that was not served, with the request's payload.
-    Over(RequestId, P, Verdict),
+    EndUnserved(RequestId, P, Verdict),
     /// Subscribe to the node list for the scheduler.
     Subscribe,
     /// Write a line to the operators' log.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -10,7 +10,7 @@
     Scheduler, Settings, ShardId,
 };
 
-use crate::attempt::{AttemptId, Step, Verdict};
+use crate::attempt::{AttemptId, Command, Verdict};
 use crate::node::{ListedNode, NodeView};
 
 /// Counters since the start.
@@ -60,7 +60,7 @@
 
 /// The requests of one gateway.
 ///
-/// After every other call that takes `&mut self`, call [`Dispatcher::step`] until it returns `None`.
+/// After every other call that takes `&mut self`, call [`Dispatcher::next_command`] until it returns `None`.
 pub struct Dispatcher<P> {
     scheduler: Scheduler,
     now: Micros,
@@ -76,7 +76,7 @@
     counts: Counts,
     events: VecDeque<Event>,
     actions: VecDeque<Action>,
-    steps: VecDeque<Step<P>>,
+    commands: VecDeque<Command<P>>,
 }
 
 impl<P> Dispatcher<P> {
@@ -96,7 +96,7 @@
             counts: Counts::default(),
             events: VecDeque::new(),
             actions: VecDeque::new(),
-            steps: VecDeque::new(),
+            commands: VecDeque::new(),
         }
     }
 
@@ -269,7 +269,7 @@
                 if let Some(in_flight) = self.in_flight.remove(&attempt) {
                     let outcome =
                         if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::TimedOut };
-                    self.steps.push_back(Step::Forget(attempt, in_flight.node, outcome));
+                    self.commands.push_back(Command::Abandon(attempt, in_flight.node, outcome));
                     self.record_end(attempt, &in_flight, outcome, None);
                 }
             }
@@ -277,12 +277,12 @@
         true
     }
 
-    /// Returns the next step for the caller to carry out, or `None` once nothing is left. The scheduler is
+    /// Returns the next command for the caller to carry out, or `None` once nothing is left. The scheduler is
     /// given one event at a time.
-    pub fn step(&mut self) -> Option<Step<P>> {
+    pub fn next_command(&mut self) -> Option<Command<P>> {
         loop {
-            if let Some(step) = self.steps.pop_front() {
-                return Some(step);
+            if let Some(command) = self.commands.pop_front() {
+                return Some(command);
             }
             if let Some(action) = self.actions.pop_front() {
                 self.apply(action);
@@ -311,15 +311,15 @@
                     self.due.remove(&(in_flight.due, Due::AttemptDeadline(id)));
                     let outcome =
                         if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::Cancelled };
-                    self.steps.push_back(Step::Forget(id, in_flight.node, outcome));
+                    self.commands.push_back(Command::Abandon(id, in_flight.node, outcome));
                     self.record_end(id, &in_flight, outcome, None);
                 }
             }
             Action::SetTimer { after, token } => {
                 self.due.insert((self.now + after, Due::SchedulerTimer(token)));
             }
-            Action::Subscribe => self.steps.push_back(Step::Subscribe),
-            Action::Log(line) => self.steps.push_back(Step::Log(line)),
+            Action::Subscribe => self.commands.push_back(Command::Subscribe),
+            Action::Log(line) => self.commands.push_back(Command::Log(line)),
         }
     }
 
@@ -345,7 +345,7 @@
             view.out += 1;
             view.sent += 1;
         }
-        self.steps.push_back(Step::Send { attempt, node, due });
+        self.commands.push_back(Command::Send { attempt, node, due });
     }
 
     fn finish(&mut self, request: RequestId, verdict: Verdict) {
@@ -354,7 +354,7 @@
             Verdict::Refused { .. } => self.counts.refused += 1,
             Verdict::Failed => self.counts.failed += 1,
         }
-        self.steps.push_back(Step::Over(request, open.payload, verdict));
+        self.commands.push_back(Command::EndUnserved(request, open.payload, verdict));
     }
 
     /// Returns the scheduler's view of a node.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //! final answers.
 //!
 //! A [`Dispatcher`] owns the scheduler. A protocol implementation submits each request with a payload that
-//! the dispatcher does not interpret, carries out each [`Step`], and reports how attempts
+//! the dispatcher does not interpret, carries out each [`Command`], and reports how attempts
 //! [ended](Dispatcher::ended). The dispatcher knows no protocol: no blocks, no HTTP, no sockets. It makes no
 //! decisions either: the scheduler chooses nodes, send times and the number of attempts, and decides whether
 //! a request is refused or failed.
@@ -14,7 +14,7 @@
 mod dispatcher;
 mod node;
 
-pub use attempt::{AttemptId, Step, Verdict};
+pub use attempt::{AttemptId, Command, Verdict};
 pub use decisions::{Micros, NodeId, NodeLook, NodeState, Outcome, RequestId};
 pub use dispatcher::{Counts, Dispatcher};
 pub use node::{ListedNode, NodeView};
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -2,7 +2,7 @@
 //! finished requests and removed nodes.
 
 use decisions::*;
-use dispatch::{AttemptId, Dispatcher, ListedNode, Step, Verdict};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode, Verdict};
 use proptest::prelude::*;
 
 fn settings() -> Settings {
@@ -71,8 +71,8 @@
     ListedNode { name: name.into(), zone: 0, shard, state, started: None }
 }
 
-fn drain_steps(dispatcher: &mut Dispatcher<u64>) -> Vec<Step<u64>> {
-    std::iter::from_fn(|| dispatcher.step()).collect()
+fn drain_commands(dispatcher: &mut Dispatcher<u64>) -> Vec<Command<u64>> {
+    std::iter::from_fn(|| dispatcher.next_command()).collect()
 }
 
 fn with_nodes(names: &[&str]) -> Dispatcher<u64> {
@@ -80,26 +80,26 @@
     let listed: Vec<ListedNode> =
         names.iter().enumerate().map(|(shard, n)| node(n, shard as u32, NodeState::On)).collect();
     dispatcher.nodes(0, true, true, &listed);
-    drain_steps(&mut dispatcher);
+    drain_commands(&mut dispatcher);
     dispatcher
 }
 
-fn sent_attempts(steps: &[Step<u64>]) -> Vec<AttemptId> {
-    let attempt = |s: &Step<u64>| match s {
-        Step::Send { attempt, .. } => Some(*attempt),
+fn sent_attempts(commands: &[Command<u64>]) -> Vec<AttemptId> {
+    let attempt = |s: &Command<u64>| match s {
+        Command::Send { attempt, .. } => Some(*attempt),
         _ => None,
     };
-    steps.iter().filter_map(attempt).collect()
+    commands.iter().filter_map(attempt).collect()
 }
 
 #[test]
 fn served_attempt_returns_the_payload_and_finishes_the_request() {
     let mut dispatcher = with_nodes(&["a"]);
     dispatcher.take(1000, request(0, 0), 42);
-    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     assert_eq!(attempts.len(), 1);
     assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Served, Some(3)), Some(42));
-    assert!(sent_attempts(&drain_steps(&mut dispatcher)).is_empty());
+    assert!(sent_attempts(&drain_commands(&mut dispatcher)).is_empty());
     assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
     assert_eq!(
         dispatcher.node_views().values().map(|n| (n.out, n.served, n.load)).collect::<Vec<_>>(),
@@ -112,33 +112,34 @@
     let mut dispatcher = with_nodes(&["a"]);
     dispatcher.allow(500, ShardId(0), 1, 300_000);
     dispatcher.take(1000, request(0, 0), 42);
-    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     dispatcher.ended(2000, attempts[0], Outcome::Error, None);
-    let retries = sent_attempts(&drain_steps(&mut dispatcher));
+    let retries = sent_attempts(&drain_commands(&mut dispatcher));
     assert_eq!(retries.len(), 1);
     dispatcher.ended(3000, retries[0], Outcome::Error, None);
-    let refused = Step::Over(attempts[0].request, 42, Verdict::Refused { come_back: 300_000 });
-    assert!(drain_steps(&mut dispatcher).contains(&refused));
+    let refused = Command::EndUnserved(attempts[0].request, 42, Verdict::Refused { come_back: 300_000 });
+    assert!(drain_commands(&mut dispatcher).contains(&refused));
 }
 
 #[test]
 fn deadline_abandons_the_attempt_and_fails_the_request() {
     let mut dispatcher = with_nodes(&["a"]);
     dispatcher.take(1000, request(1, 0), 42);
-    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     let deadline = 401_000;
-    let mut seen_steps = Vec::new();
+    let mut seen_commands = Vec::new();
     while let Some(at) = dispatcher.next_due().filter(|&at| at <= deadline) {
         while dispatcher.tick(at) {
-            seen_steps.extend(drain_steps(&mut dispatcher).into_iter().map(|s| (at, s)));
+            seen_commands.extend(drain_commands(&mut dispatcher).into_iter().map(|s| (at, s)));
         }
     }
-    let abandoned = seen_steps.iter().any(|(at, s)| {
-        matches!(s, Step::Forget(a, _, Outcome::TimedOut) if *a == attempts[0]) && *at == deadline
+    let abandoned = seen_commands.iter().any(|(at, s)| {
+        matches!(s, Command::Abandon(a, _, Outcome::TimedOut) if *a == attempts[0]) && *at == deadline
     });
-    let failed =
-        seen_steps.iter().any(|(at, s)| matches!(s, Step::Over(_, 42, Verdict::Failed)) && *at == deadline);
-    assert!(abandoned && failed, "{seen_steps:?}");
+    let failed = seen_commands
+        .iter()
+        .any(|(at, s)| matches!(s, Command::EndUnserved(_, 42, Verdict::Failed)) && *at == deadline);
+    assert!(abandoned && failed, "{seen_commands:?}");
     assert_eq!(dispatcher.ended(deadline + 1, attempts[0], Outcome::Served, None), None);
     assert_eq!((dispatcher.counts().late, dispatcher.counts().failed), (1, 1));
 }
@@ -148,13 +149,13 @@
     let mut dispatcher = with_nodes(&["a"]);
     let id = dispatcher.take(1000, request(0, 0), 42);
     assert_eq!(dispatcher.withdraw(1000, id), Some(42));
-    assert!(sent_attempts(&drain_steps(&mut dispatcher)).is_empty());
+    assert!(sent_attempts(&drain_commands(&mut dispatcher)).is_empty());
     // The scheduler must not count the attempt as in flight: the node still accepts as many requests as
     // before.
     let mut sent = 0;
     for _ in 0..4 {
         dispatcher.take(1000, request(0, 0), 1);
-        sent += sent_attempts(&drain_steps(&mut dispatcher)).len();
+        sent += sent_attempts(&drain_commands(&mut dispatcher)).len();
     }
     assert_eq!(sent, 4);
 }
@@ -163,11 +164,11 @@
 fn withdrawn_request_leaves_no_state_after_its_attempt_ends() {
     let mut dispatcher = with_nodes(&["a"]);
     let id = dispatcher.take(1000, request(0, 0), 42);
-    let attempts = sent_attempts(&drain_steps(&mut dispatcher));
+    let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     dispatcher.withdraw(1500, id);
-    assert!(drain_steps(&mut dispatcher).iter().all(|s| !matches!(s, Step::Over(..))));
+    assert!(drain_commands(&mut dispatcher).iter().all(|s| !matches!(s, Command::EndUnserved(..))));
     assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Cancelled, None), None);
-    drain_steps(&mut dispatcher);
+    drain_commands(&mut dispatcher);
     assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
 }
 
@@ -179,17 +180,17 @@
         now += 20_000;
         dispatcher.nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
         dispatcher.take(now, request(0, n % 3), u64::from(n));
-        for attempt in sent_attempts(&drain_steps(&mut dispatcher)) {
+        for attempt in sent_attempts(&drain_commands(&mut dispatcher)) {
             dispatcher.ended(now + 500, attempt, Outcome::Served, None);
         }
-        drain_steps(&mut dispatcher);
+        drain_commands(&mut dispatcher);
         if n >= 3 {
             dispatcher.nodes(now, false, false, &[node(&format!("n{}", n - 3), n % 3, NodeState::Gone)]);
-            drain_steps(&mut dispatcher);
+            drain_commands(&mut dispatcher);
         }
         while dispatcher.next_due().is_some_and(|at| at <= now) {
             dispatcher.tick(now);
-            drain_steps(&mut dispatcher);
+            drain_commands(&mut dispatcher);
         }
         dispatcher.forget_gone();
     }
@@ -200,7 +201,7 @@
         now += 1_000_000;
         while dispatcher.next_due().is_some_and(|at| at <= now) {
             dispatcher.tick(now);
-            drain_steps(&mut dispatcher);
+            drain_commands(&mut dispatcher);
         }
     }
     dispatcher.forget_gone();
@@ -237,16 +238,16 @@
         let (mut now, mut next_payload) = (1000i64, 0u64);
         let mut open: Vec<(u64, RequestId)> = Vec::new();
         let mut in_flight: Vec<AttemptId> = Vec::new();
-        let carry_out_steps = |dispatcher: &mut Dispatcher<u64>, open: &mut Vec<(u64, RequestId)>, in_flight: &mut Vec<AttemptId>| {
-            for step in drain_steps(dispatcher) {
-                match step {
-                    Step::Send { attempt, .. } => in_flight.push(attempt),
-                    Step::Forget(attempt, ..) => in_flight.retain(|a| *a != attempt),
-                    Step::Over(_, payload, _) => {
+        let carry_out_commands = |dispatcher: &mut Dispatcher<u64>, open: &mut Vec<(u64, RequestId)>, in_flight: &mut Vec<AttemptId>| {
+            for command in drain_commands(dispatcher) {
+                match command {
+                    Command::Send { attempt, .. } => in_flight.push(attempt),
+                    Command::Abandon(attempt, ..) => in_flight.retain(|a| *a != attempt),
+                    Command::EndUnserved(_, payload, _) => {
                         assert!(open.iter().any(|(p, _)| *p == payload), "request {payload} got two final answers");
                         open.retain(|(p, _)| *p != payload);
                     }
-                    Step::Subscribe | Step::Log(_) => {}
+                    Command::Subscribe | Command::Log(_) => {}
                 }
             }
         };
@@ -271,7 +272,7 @@
                 TestAction::AdvanceClock(duration) => {
                     now += duration;
                     while dispatcher.tick(now) {
-                        carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
+                        carry_out_commands(&mut dispatcher, &mut open, &mut in_flight);
                     }
                 }
                 TestAction::ChangeNode(n, state) => {
@@ -280,13 +281,13 @@
                 }
                 _ => {}
             }
-            carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
+            carry_out_commands(&mut dispatcher, &mut open, &mut in_flight);
             prop_assert_eq!(dispatcher.open(), open.len());
             prop_assert_eq!(dispatcher.out().count(), in_flight.len());
         }
         now += 1_000_000;
         while dispatcher.tick(now) {
-            carry_out_steps(&mut dispatcher, &mut open, &mut in_flight);
+            carry_out_commands(&mut dispatcher, &mut open, &mut in_flight);
         }
         prop_assert!(open.is_empty(), "requests without a final answer: {open:?}");
         prop_assert!(in_flight.is_empty());
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -15,7 +15,7 @@
             for effect in std::mem::take(&mut self.effects) {
                 match effect {
                     Effect::Send(send) => self.send(now, send),
-                    Effect::Forget(attempt, node) => {
+                    Effect::Abandon(attempt, node) => {
                         if let Some(work) = self.returning.as_mut().and_then(Returning::work) {
                             work.forgotten(now, attempt);
                         }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
-use dispatch::{AttemptId, Dispatcher, Step, Verdict};
+use dispatch::{AttemptId, Command, Dispatcher, Verdict};
 use http1::{Incoming, Limits, Request};
 use profile::Service;
 
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -106,15 +106,15 @@
 
     /// Carries out what the module wants until it wants nothing more.
     pub(super) fn settle(&mut self, now: Micros) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
                         pending.attempts.decided(now, node);
                     }
                     self.send(now, attempt, node);
                 }
-                Step::Forget(attempt, _, outcome) => {
+                Command::Abandon(attempt, _, outcome) => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
                         pending.attempts.ended(now, attempt.n, outcome);
                     }
@@ -122,10 +122,10 @@
                         self.outputs.push(Output::Close(SocketId::Node(id)));
                     }
                 }
-                Step::Over(_, pending, verdict) => self.over(now, &pending, verdict),
+                Command::EndUnserved(_, pending, verdict) => self.over(now, &pending, verdict),
                 // The watch brings the list without being asked.
-                Step::Subscribe => {}
-                Step::Log(line) => tracing::info!("{line}"),
+                Command::Subscribe => {}
+                Command::Log(line) => tracing::info!("{line}"),
             }
         }
     }
