--- a/crates/capacity/src/parts/module.rs
+++ b/crates/capacity/src/parts/module.rs
@@ -70,7 +70,7 @@
             if let Some(at) = end.filter(|end| due.is_none_or(|due| *end <= due)) {
                 self.now = at;
                 if let Some((_, attempt)) = self.out.pop_front() {
-                    let served = self.dispatcher.ended(at, attempt, Outcome::Served, None);
+                    let served = self.dispatcher.attempt_ended(at, attempt, Outcome::Served, None);
                     self.served += u64::from(served.is_some());
                 }
             } else if let Some(at) = due {
@@ -90,7 +90,7 @@
         for _ in 0..requests {
             self.run_to(self.now + gap);
             let request = site::request(self.nodes, &mut self.rng);
-            self.dispatcher.take(self.now, request, ());
+            self.dispatcher.submit(self.now, request, ());
             self.carry_out();
         }
         self.run_to(self.now + LATENCY);
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -109,7 +109,7 @@
         }
         let mut pieces = Vec::with_capacity(parts.len());
         for (index, (part, request)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.take(self.now, request, (ticket, index));
+            let request = self.dispatcher.submit(self.now, request, (ticket, index));
             pieces.push(Piece {
                 request,
                 part,
@@ -223,7 +223,7 @@
 
     /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
     /// and otherwise ignored.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
         self.advance(now);
         if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
@@ -234,7 +234,7 @@
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
             open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
-        let served = self.dispatcher.ended(self.now, attempt, end.outcome, end.load);
+        let served = self.dispatcher.attempt_ended(self.now, attempt, end.outcome, end.load);
         if let Some((ticket, index)) = served
             && let Some(open) = self.open.get_mut(&ticket)
         {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //! scheduler chooses nodes, send times and the number of attempts, and decides whether a request is refused
 //! or failed. It knows no sockets and no protocols: a protocol front end submits an [`Operation`] and gets an
 //! [`Answer`] under the same [`Ticket`]; connections to nodes carry out a [`Send`] and report how it
-//! [ended](Core::ended).
+//! [ended](Core::attempt_ended).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -102,7 +102,7 @@
 
     /// Accepts a request, which gets exactly one final answer, and assigns its id; the id in `request` is
     /// ignored.
-    pub fn take(&mut self, now: Micros, mut request: Request, payload: P) -> RequestId {
+    pub fn submit(&mut self, now: Micros, mut request: Request, payload: P) -> RequestId {
         self.advance(now);
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -142,7 +142,7 @@
 
     /// Reports the end of an attempt. Returns the payload if this serves the request, which is then its final
     /// answer. The end of an attempt that is no longer in flight is counted as late and otherwise ignored.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         attempt: AttemptId,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! A [`Dispatcher`] owns the scheduler. A protocol implementation submits each request with a payload that
 //! the dispatcher does not interpret, carries out each [`Command`], and reports how attempts
-//! [ended](Dispatcher::ended). The dispatcher knows no protocol: no blocks, no HTTP, no sockets. It makes no
-//! decisions either: the scheduler chooses nodes, send times and the number of attempts, and decides whether
-//! a request is refused or failed.
+//! [ended](Dispatcher::attempt_ended). The dispatcher knows no protocol: no blocks, no HTTP, no sockets. It
+//! makes no decisions either: the scheduler chooses nodes, send times and the number of attempts, and decides
+//! whether a request is refused or failed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -95,10 +95,10 @@
 #[test]
 fn served_attempt_returns_the_payload_and_finishes_the_request() {
     let mut dispatcher = with_nodes(&["a"]);
-    dispatcher.take(1000, request(0, 0), 42);
+    dispatcher.submit(1000, request(0, 0), 42);
     let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     assert_eq!(attempts.len(), 1);
-    assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Served, Some(3)), Some(42));
+    assert_eq!(dispatcher.attempt_ended(2000, attempts[0], Outcome::Served, Some(3)), Some(42));
     assert!(sent_attempts(&drain_commands(&mut dispatcher)).is_empty());
     assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
     assert_eq!(
@@ -111,12 +111,12 @@
 fn retry_without_token_is_refused_with_the_allowance_advice() {
     let mut dispatcher = with_nodes(&["a"]);
     dispatcher.allow(500, ShardId(0), 1, 300_000);
-    dispatcher.take(1000, request(0, 0), 42);
+    dispatcher.submit(1000, request(0, 0), 42);
     let attempts = sent_attempts(&drain_commands(&mut dispatcher));
-    dispatcher.ended(2000, attempts[0], Outcome::Error, None);
+    dispatcher.attempt_ended(2000, attempts[0], Outcome::Error, None);
     let retries = sent_attempts(&drain_commands(&mut dispatcher));
     assert_eq!(retries.len(), 1);
-    dispatcher.ended(3000, retries[0], Outcome::Error, None);
+    dispatcher.attempt_ended(3000, retries[0], Outcome::Error, None);
     let refused = Command::EndUnserved(attempts[0].request, 42, Verdict::Refused { come_back: 300_000 });
     assert!(drain_commands(&mut dispatcher).contains(&refused));
 }
@@ -124,7 +124,7 @@
 #[test]
 fn deadline_abandons_the_attempt_and_fails_the_request() {
     let mut dispatcher = with_nodes(&["a"]);
-    dispatcher.take(1000, request(1, 0), 42);
+    dispatcher.submit(1000, request(1, 0), 42);
     let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     let deadline = 401_000;
     let mut seen_commands = Vec::new();
@@ -140,21 +140,21 @@
         .iter()
         .any(|(at, s)| matches!(s, Command::EndUnserved(_, 42, Verdict::Failed)) && *at == deadline);
     assert!(abandoned && failed, "{seen_commands:?}");
-    assert_eq!(dispatcher.ended(deadline + 1, attempts[0], Outcome::Served, None), None);
+    assert_eq!(dispatcher.attempt_ended(deadline + 1, attempts[0], Outcome::Served, None), None);
     assert_eq!((dispatcher.counts().late, dispatcher.counts().failed), (1, 1));
 }
 
 #[test]
 fn no_attempt_is_sent_for_a_withdrawn_request() {
     let mut dispatcher = with_nodes(&["a"]);
-    let id = dispatcher.take(1000, request(0, 0), 42);
+    let id = dispatcher.submit(1000, request(0, 0), 42);
     assert_eq!(dispatcher.withdraw(1000, id), Some(42));
     assert!(sent_attempts(&drain_commands(&mut dispatcher)).is_empty());
     // The scheduler must not count the attempt as in flight: the node still accepts as many requests as
     // before.
     let mut sent = 0;
     for _ in 0..4 {
-        dispatcher.take(1000, request(0, 0), 1);
+        dispatcher.submit(1000, request(0, 0), 1);
         sent += sent_attempts(&drain_commands(&mut dispatcher)).len();
     }
     assert_eq!(sent, 4);
@@ -163,11 +163,11 @@
 #[test]
 fn withdrawn_request_leaves_no_state_after_its_attempt_ends() {
     let mut dispatcher = with_nodes(&["a"]);
-    let id = dispatcher.take(1000, request(0, 0), 42);
+    let id = dispatcher.submit(1000, request(0, 0), 42);
     let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     dispatcher.withdraw(1500, id);
     assert!(drain_commands(&mut dispatcher).iter().all(|s| !matches!(s, Command::EndUnserved(..))));
-    assert_eq!(dispatcher.ended(2000, attempts[0], Outcome::Cancelled, None), None);
+    assert_eq!(dispatcher.attempt_ended(2000, attempts[0], Outcome::Cancelled, None), None);
     drain_commands(&mut dispatcher);
     assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
 }
@@ -179,9 +179,9 @@
     for n in 0..3000u32 {
         now += 20_000;
         dispatcher.nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
-        dispatcher.take(now, request(0, n % 3), u64::from(n));
+        dispatcher.submit(now, request(0, n % 3), u64::from(n));
         for attempt in sent_attempts(&drain_commands(&mut dispatcher)) {
-            dispatcher.ended(now + 500, attempt, Outcome::Served, None);
+            dispatcher.attempt_ended(now + 500, attempt, Outcome::Served, None);
         }
         drain_commands(&mut dispatcher);
         if n >= 3 {
@@ -254,13 +254,13 @@
         for action in actions {
             match action {
                 TestAction::Submit(class, shard) => {
-                    let id = dispatcher.take(now, request(class, shard), next_payload);
+                    let id = dispatcher.submit(now, request(class, shard), next_payload);
                     open.push((next_payload, id));
                     next_payload += 1;
                 }
                 TestAction::EndAttempt(index, outcome) if !in_flight.is_empty() => {
                     let attempt = in_flight.remove(index % in_flight.len());
-                    if let Some(payload) = dispatcher.ended(now, attempt, OUTCOMES[outcome], None) {
+                    if let Some(payload) = dispatcher.attempt_ended(now, attempt, OUTCOMES[outcome], None) {
                         prop_assert!(open.iter().any(|(p, _)| *p == payload));
                         open.retain(|(p, _)| *p != payload);
                     }
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -104,7 +104,7 @@
             work.ended(now, attempt, end.outcome);
         }
         self.ends(now, attempt, &end);
-        self.core.ended(now, attempt, end, &mut self.effects);
+        self.core.attempt_ended(now, attempt, end, &mut self.effects);
     }
 }
 
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -97,7 +97,7 @@
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
             pending.attempts.ended(now, attempt.n, outcome);
         }
-        if let Some(pending) = self.dispatcher.ended(now, attempt, outcome, load) {
+        if let Some(pending) = self.dispatcher.attempt_ended(now, attempt, outcome, load) {
             let body = answer.map(|a| a.body.clone()).unwrap_or_default();
             pending.note(now);
             self.answer(now, &pending, 200, &[], body);
@@ -170,12 +170,12 @@
         for attempt in out {
             if self.dispatcher.is_waiting(attempt) {
                 self.links.forget_attempt(attempt);
-                self.dispatcher.ended(now, attempt, Outcome::NotSent, None);
+                self.dispatcher.attempt_ended(now, attempt, Outcome::NotSent, None);
             } else if self.cancel {
                 if let Some(link) = self.links.forget_attempt(attempt) {
                     self.outputs.push(Output::Close(SocketId::Node(link)));
                 }
-                self.dispatcher.ended(now, attempt, Outcome::Cancelled, None);
+                self.dispatcher.attempt_ended(now, attempt, Outcome::Cancelled, None);
             } else if let Some(link) = self.links.of_attempt(attempt) {
                 self.outputs.push(Output::Cut(SocketId::Node(link)));
             }
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -100,7 +100,7 @@
             taken.patience = taken.patience.min(ends - now).max(0);
         }
         let until = now + taken.patience;
-        let request = self.dispatcher.take(
+        let request = self.dispatcher.submit(
             now,
             taken,
             Pending { client: id, ask, read: at, until, attempts: AttemptRecords::default() },
