--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -227,7 +227,7 @@
         self.advance(now);
         if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
-            && self.dispatcher.is_out(attempt)
+            && self.dispatcher.is_in_flight(attempt)
             && let Some(open) = self.open.get_mut(&ticket)
         {
             open.last_outcome = Some(end.outcome);
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -92,8 +92,8 @@
 }
 
 impl EndedView {
-    /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the gateway's
-    /// status.
+    /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the
+    /// gateway's status.
     pub fn reason(&self) -> &'static str {
         match (self.attempts, self.last) {
             (0, _) => "held until it would have been late, or its limit",
@@ -136,8 +136,8 @@
     }
 
     /// Returns the number of attempts in flight, including those of finished operations.
-    pub fn attempts_out(&self) -> usize {
-        self.dispatcher.out().count()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.dispatcher.attempts_in_flight().count()
     }
 
     /// Returns the counters since the start.
@@ -159,7 +159,7 @@
     /// Returns the open operations, oldest first.
     pub fn open_views(&self) -> Vec<OpenView> {
         let mut nodes: HashMap<RequestId, Vec<NodeId>> = HashMap::new();
-        for (attempt, node) in self.dispatcher.out() {
+        for (attempt, node) in self.dispatcher.attempts_in_flight() {
             nodes.entry(attempt.request).or_default().push(node);
         }
         let view = |(&ticket, open): (&Ticket, &OpenOperation)| OpenView {
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -344,7 +344,7 @@
         }
         driver.advance_to(driver.now + 1_000_000);
         prop_assert_eq!(driver.core.open_operations(), 0);
-        prop_assert_eq!(driver.core.attempts_out(), 0);
+        prop_assert_eq!(driver.core.attempts_in_flight(), 0);
         prop_assert!(driver.in_flight.is_empty());
         for t in (1..=ticket).map(Ticket) {
             let answers = driver.answers.iter().filter(|a| a.0 == t).count();
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -125,7 +125,7 @@
     }
 
     /// Whether an attempt is in flight.
-    pub fn is_out(&self, attempt: AttemptId) -> bool {
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.in_flight.contains_key(&attempt)
     }
 
@@ -170,7 +170,7 @@
         let latency = self.now - in_flight.sent_at;
         let served = outcome == Outcome::Served;
         if let Some(view) = self.nodes.get_mut(&in_flight.node) {
-            view.out -= 1;
+            view.in_flight -= 1;
             view.load = load.or(view.load);
             if served {
                 view.served += 1;
@@ -179,7 +179,7 @@
                 view.unserved += 1;
             }
             if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full) {
-                view.heard = Some(self.now);
+                view.last_heard = Some(self.now);
             }
         }
         let settled = served || !self.requests.contains_key(&attempt.request);
@@ -237,7 +237,7 @@
     pub fn forget_gone(&mut self) -> Vec<NodeId> {
         let scheduler = &self.scheduler;
         let is_removable = |id: &NodeId, view: &NodeView| {
-            view.state == NodeState::Gone && view.out == 0 && scheduler.look(*id).is_none()
+            view.state == NodeState::Gone && view.in_flight == 0 && scheduler.look(*id).is_none()
         };
         let gone: Vec<NodeId> =
             self.nodes.iter().filter(|(id, view)| is_removable(id, view)).map(|(id, _)| *id).collect();
@@ -342,7 +342,7 @@
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
         if let Some(view) = self.nodes.get_mut(&node) {
-            view.out += 1;
+            view.in_flight += 1;
             view.sent += 1;
         }
         self.commands.push_back(Command::Send { attempt, node, due });
@@ -363,12 +363,12 @@
     }
 
     /// Returns the number of open requests: those without a final answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Returns the attempts in flight and their nodes, including those of finished requests.
-    pub fn out(&self) -> impl Iterator<Item = (AttemptId, NodeId)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (AttemptId, NodeId)> {
         self.in_flight.iter().map(|(id, in_flight)| (*id, in_flight.node))
     }
 
--- a/crates/dispatch/src/dispatcher/connection_wait.rs
+++ b/crates/dispatch/src/dispatcher/connection_wait.rs
@@ -7,9 +7,9 @@
 use super::*;
 
 impl<P> Dispatcher<P> {
-    /// Marks an attempt as waiting for a connection. Nothing of it is written until [`Dispatcher::begin`]; if
-    /// its deadline passes first, its outcome is `NotSent`.
-    pub fn waits(&mut self, attempt: AttemptId) {
+    /// Marks an attempt as waiting for a connection. Nothing of it is written until
+    /// [`Dispatcher::begin_write`]; if its deadline passes first, its outcome is `NotSent`.
+    pub fn await_connection(&mut self, attempt: AttemptId) {
         if let Some(in_flight) = self.in_flight.get_mut(&attempt).filter(|a| !a.awaits_connection) {
             in_flight.awaits_connection = true;
             let AttemptId { request, n } = attempt;
@@ -18,13 +18,13 @@
     }
 
     /// Whether an attempt waits for a connection.
-    pub fn is_waiting(&self, attempt: AttemptId) -> bool {
+    pub fn awaits_connection(&self, attempt: AttemptId) -> bool {
         self.in_flight.get(&attempt).is_some_and(|a| a.awaits_connection)
     }
 
     /// Whether an attempt that has not begun may still begin: its request is open, its deadline has not
     /// passed and the scheduler still considers the attempt valid.
-    pub fn stands(&self, now: Micros, attempt: AttemptId) -> bool {
+    pub fn is_still_valid(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_valid = |in_flight: &InFlight| {
             now < in_flight.due && self.scheduler.stands(now, attempt.request, attempt.n, in_flight.node)
         };
@@ -32,11 +32,11 @@
     }
 
     /// Starts writing an attempt: returns its node and its deadline. Returns `None` if the attempt is no
-    /// longer [valid](Dispatcher::stands); nothing of it may then be written, and its end must be reported as
-    /// `NotSent`.
-    pub fn begin(&mut self, now: Micros, attempt: AttemptId) -> Option<(NodeId, Micros)> {
+    /// longer [valid](Dispatcher::is_still_valid); nothing of it may then be written, and its end must be
+    /// reported as `NotSent`.
+    pub fn begin_write(&mut self, now: Micros, attempt: AttemptId) -> Option<(NodeId, Micros)> {
         self.advance(now);
-        if !self.stands(self.now, attempt) {
+        if !self.is_still_valid(self.now, attempt) {
             return None;
         }
         let in_flight = self.in_flight.get_mut(&attempt)?;
@@ -48,7 +48,7 @@
     }
 
     /// Moves the deadlines of all open requests and attempts that are later than `by` forward to `by`.
-    pub fn hasten(&mut self, now: Micros, by: Micros) {
+    pub fn cap_deadlines(&mut self, now: Micros, by: Micros) {
         self.advance(now);
         let mut late: Vec<RequestId> =
             self.requests.iter().filter(|(_, r)| r.deadline > by).map(|(id, _)| *id).collect();
--- a/crates/dispatch/src/node.rs
+++ b/crates/dispatch/src/node.rs
@@ -31,7 +31,7 @@
     /// Time of the last start according to the node list.
     pub started: Option<Micros>,
     /// Attempts in flight.
-    pub out: u32,
+    pub in_flight: u32,
     /// Attempts sent.
     pub sent: u64,
     /// Attempts served.
@@ -41,7 +41,7 @@
     /// Number of requests held by the node, from its latest report.
     pub load: Option<u32>,
     /// Time of the latest response from the node.
-    pub heard: Option<Micros>,
+    pub last_heard: Option<Micros>,
     /// Latency of the latest served attempt, in microseconds.
     pub latency: Micros,
 }
@@ -54,12 +54,12 @@
             shard: 0,
             state: NodeState::Gone,
             started: None,
-            out: 0,
+            in_flight: 0,
             sent: 0,
             served: 0,
             unserved: 0,
             load: None,
-            heard: None,
+            last_heard: None,
             latency: 0,
         }
     }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -100,9 +100,9 @@
     assert_eq!(attempts.len(), 1);
     assert_eq!(dispatcher.attempt_ended(2000, attempts[0], Outcome::Served, Some(3)), Some(42));
     assert!(sent_attempts(&drain_commands(&mut dispatcher)).is_empty());
-    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
+    assert_eq!((dispatcher.open_requests(), dispatcher.attempts_in_flight().count()), (0, 0));
     assert_eq!(
-        dispatcher.node_views().values().map(|n| (n.out, n.served, n.load)).collect::<Vec<_>>(),
+        dispatcher.node_views().values().map(|n| (n.in_flight, n.served, n.load)).collect::<Vec<_>>(),
         [(0, 1, Some(3))]
     );
 }
@@ -169,7 +169,7 @@
     assert!(drain_commands(&mut dispatcher).iter().all(|s| !matches!(s, Command::EndUnserved(..))));
     assert_eq!(dispatcher.attempt_ended(2000, attempts[0], Outcome::Cancelled, None), None);
     drain_commands(&mut dispatcher);
-    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
+    assert_eq!((dispatcher.open_requests(), dispatcher.attempts_in_flight().count()), (0, 0));
 }
 
 #[test]
@@ -206,7 +206,7 @@
     }
     dispatcher.forget_gone();
     assert_eq!(dispatcher.node_views().len(), 3);
-    assert_eq!((dispatcher.open(), dispatcher.out().count()), (0, 0));
+    assert_eq!((dispatcher.open_requests(), dispatcher.attempts_in_flight().count()), (0, 0));
 }
 
 #[derive(Clone, Debug)]
@@ -282,8 +282,8 @@
                 _ => {}
             }
             carry_out_commands(&mut dispatcher, &mut open, &mut in_flight);
-            prop_assert_eq!(dispatcher.open(), open.len());
-            prop_assert_eq!(dispatcher.out().count(), in_flight.len());
+            prop_assert_eq!(dispatcher.open_requests(), open.len());
+            prop_assert_eq!(dispatcher.attempts_in_flight().count(), in_flight.len());
         }
         now += 1_000_000;
         while dispatcher.tick(now) {
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -286,7 +286,7 @@
         let views = self.core.node_views();
         self.links.retain(|id, link| {
             link.watch();
-            let over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.out == 0);
+            let over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.in_flight == 0);
             if over {
                 link.end();
             }
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -165,7 +165,8 @@
                 Some(*together.down.entry(*id).or_insert(now)).filter(|since| now - since > SILENT)
             };
             let look = self.core.look(*id);
-            let unheard = look.filter(|l| l.silent).map(|_| (now - n.heard.unwrap_or(self.started)).max(1));
+            let unheard =
+                look.filter(|l| l.silent).map(|_| (now - n.last_heard.unwrap_or(self.started)).max(1));
             let silent_for = since.map(|s| now - s).max(unheard).unwrap_or(0);
             let cold = look.is_some_and(|l| l.cold);
             let cold_for = if cold { (warm_after - (now - n.started.unwrap_or(now))).max(1) } else { 0 };
--- a/crates/gateway/src/engine/look.rs
+++ b/crates/gateway/src/engine/look.rs
@@ -63,12 +63,12 @@
                 state: n.state.into(),
                 started: n.started.unwrap_or(0),
                 link: link.map_or("none", |l| l.phase()).to_owned(),
-                out: n.out,
+                out: n.in_flight,
                 sent: n.sent,
                 served: n.served,
                 unserved: n.unserved,
                 load: n.load,
-                heard: n.heard.unwrap_or(0),
+                heard: n.last_heard.unwrap_or(0),
                 latency: n.latency,
             }
         });
@@ -114,7 +114,7 @@
             waiting_turn: self.turns.len(),
             turned_away,
             open: self.core.open_operations(),
-            out: self.core.attempts_out(),
+            out: self.core.attempts_in_flight(),
             taken: tally.taken,
             served: tally.served,
             refused: tally.refused,
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -189,13 +189,14 @@
 
     /// Requests that are owed an answer.
     pub fn open(&self) -> usize {
-        self.dispatcher.open()
+        self.dispatcher.open_requests()
     }
 
     /// Entries of all tables: what a gateway that serves nobody keeps, beside lines that wait for the log.
     pub fn held(&self) -> usize {
         let nodes = self.dispatcher.node_views().len() + self.nodes.len();
-        let requests = self.dispatcher.open() + self.dispatcher.out().count() + self.ids.len();
+        let requests =
+            self.dispatcher.open_requests() + self.dispatcher.attempts_in_flight().count() + self.ids.len();
         self.clients.len() + self.agenda.len() + nodes + requests + self.links.held() + self.discovery.len()
     }
 
@@ -367,7 +368,7 @@
         if self.leaving.is_none() {
             self.leaving = Some(now);
             if let Some(ends) = self.ends() {
-                self.dispatcher.hasten(now, ends);
+                self.dispatcher.cap_deadlines(now, ends);
                 self.settle(now);
             }
         }
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -69,7 +69,7 @@
 
     /// What is written of an attempt that begins now.
     fn words(&mut self, now: Micros, attempt: AttemptId) -> Option<Bytes> {
-        let (node, due) = self.dispatcher.begin(now, attempt)?;
+        let (node, due) = self.dispatcher.begin_write(now, attempt)?;
         let pending = self.dispatcher.payload(attempt.request)?;
         let host = self.nodes.get(&node).map_or_else(String::new, |a| a.at.to_string());
         Some(pending.ask.forward(&host, due - now))
@@ -78,7 +78,7 @@
     /// Attempts that wait for a connection and no longer stand are taken back.
     pub(super) fn take_back_fallen(&mut self, now: Micros) {
         for attempt in self.links.waiting() {
-            if !self.dispatcher.stands(now, attempt) {
+            if !self.dispatcher.is_still_valid(now, attempt) {
                 self.links.forget_attempt(attempt);
                 self.attempt_ended(now, attempt, Outcome::NotSent, None);
             }
@@ -133,9 +133,9 @@
     pub(super) fn send(&mut self, now: Micros, attempt: AttemptId, node: NodeId) {
         match self.links.send(now, attempt, node) {
             Way::Reuse(id) => self.begin(now, id, attempt, false),
-            Way::Later => self.dispatcher.waits(attempt),
+            Way::Later => self.dispatcher.await_connection(attempt),
             Way::Open(id, address, gives_way) => {
-                self.dispatcher.waits(attempt);
+                self.dispatcher.await_connection(attempt);
                 self.close_links(gives_way.into_iter().collect());
                 self.outputs.push(Output::Connect(SocketId::Node(id), address));
             }
@@ -166,9 +166,9 @@
         // Nobody waits for its attempts. What has not begun never does, whatever the settings allow; what is partly written has
         // not begun either, and ends with its connection; what has gone out a node may stop, where that is permitted.
         let out: Vec<AttemptId> =
-            self.dispatcher.out().map(|(a, _)| a).filter(|a| a.request == request).collect();
+            self.dispatcher.attempts_in_flight().map(|(a, _)| a).filter(|a| a.request == request).collect();
         for attempt in out {
-            if self.dispatcher.is_waiting(attempt) {
+            if self.dispatcher.awaits_connection(attempt) {
                 self.links.forget_attempt(attempt);
                 self.dispatcher.attempt_ended(now, attempt, Outcome::NotSent, None);
             } else if self.cancel {
--- a/crates/platform/src/machine/summary.rs
+++ b/crates/platform/src/machine/summary.rs
@@ -12,7 +12,7 @@
             self.clients.len(),
             self.links.len(),
             self.nodes.len(),
-            self.dispatcher.open(),
+            self.dispatcher.open_requests(),
             c.taken,
             c.served,
             c.refused,
