--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -44,11 +44,11 @@
 /// Gateways that have one whole right of the even part between them, with as many free sends as one shard bears.
 fn for_one_right(members: usize, seed: u64) -> f64 {
     let options = CapOptions { free: free(), ..options(0, members, 1) };
-    let terms = options.terms();
+    let durations = options.durations();
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let (mut now, mut out) = (0, Vec::new());
-    while now <= 2 * terms.empty() {
-        now += terms.step;
+    while now <= 2 * durations.empty_period() {
+        now += durations.step;
         cap.handle(now, Input::Tick, &mut out);
     }
     let left = cap.look(now).first().map_or(0.0, |look| look.left);
@@ -188,7 +188,7 @@
 /// A cap of 30 shards that every peer has told of one shard in trouble and asked for rights to it.
 pub(super) fn heard_from_all(members: usize, seed: u64) -> Cap {
     let options = options(0, members, FEW_SHARDS);
-    let now = 2 * options.terms().empty();
+    let now = 2 * options.durations().empty_period();
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
--- a/crates/repeats/examples/cost.rs
+++ b/crates/repeats/examples/cost.rs
@@ -1,4 +1,5 @@
-//! What the cap costs on the path: the events of a request that is served at its first send, with so many shards; and `is_repeat`.
+//! The cost of the cap on the request path, with this many shards: the events of a request that is
+//! served at its first attempt, and one call of `is_repeat`.
 //!
 //!     cargo run --release -p repeats --example cost -- [SHARDS]
 
@@ -18,7 +19,7 @@
     let (requests, mut outputs) = (1_000_000_u32, 0);
     let began = Instant::now();
     for n in 0..requests {
-        // 20,000 a second.
+        // 20,000 requests a second.
         let (now, shard) = (Micros::from(n) * 50, n % shards);
         black_box(cap.is_repeat(now, u64::from(n)));
         cap.handle(now, Input::Sent { shard, further: false }, &mut out);
--- a/crates/repeats/src/account.rs
+++ b/crates/repeats/src/account.rs
@@ -1,220 +1,245 @@
-//! One gateway's rights to one shard (or to all): what it has, until when, and what is out.
+//! A gateway's account of retry tokens for one shard, or for the whole fleet: the tokens it may spend,
+//! when they expire, and which are in use.
 //!
-//! Two sorts, and an argument for each that needs nobody else's honesty about time:
+//! There are two kinds of tokens. Neither relies on the clock readings of another gateway:
 //!
-//! - **Even.** Of its even part `E` a gateway has at any moment `E` less what is *out*. A spent right is out for a window, a lent
-//!   one for its loan's life and a window: as if it were spent at the latest moment at which its borrower may. So whichever
-//!   window is looked at, uses of this gateway's part that lie in it, its own and its borrowers', are at most `E`; over all
-//!   members at most `free`, whoever is cut from whom.
-//! - **Earned.** A served request gives `share` of a right that is used once, here or by whom it is lent to, within half a window.
-//!   So the uses in a window are at most `share` x what was served in it and in the half window before it.
+//! - **Base tokens.** A gateway has an equal part `E` of the `free` tokens of the fleet. At any moment
+//!   it may spend `E` less what is *in use*. A spent token is in use for a window; a leased one for the
+//!   term of its lease and a window, as if the borrower spent it at the latest possible moment. So the
+//!   uses of this gateway's part within any window, by itself and by its borrowers, are at most `E`, and
+//!   those of all members at most `free`, whatever the network partitions.
+//! - **Earned tokens.** A served request earns `share` of a token, which is used once, here or by a
+//!   borrower, within half a window. So the uses within a window are at most `share` x the requests
+//!   served in it and in the half window before it.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
-use crate::options::Terms;
+use crate::options::Durations;
 
-/// Rights in thousandths, and until when.
+/// Tokens in thousandths, and when they fall due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Parcel {
+struct TokenBatch {
     until: Micros,
-    rights: u64,
+    amount: u64,
 }
 
-/// A part of a grant: rights in thousandths, and what is left of their life in the judge's time, counted from the giving.
-pub type Part = (u64, Micros);
+/// A part of a lease grant: tokens in thousandths, and their remaining lifetime on the reference clock,
+/// counted from the moment of the grant.
+pub type LeasePart = (u64, Micros);
 
-/// What went through an account, in thousandths.
+/// Totals of an account, in thousandths of a token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Turnover {
-    /// Spent on sends.
+pub struct AccountTotals {
+    /// Spent on attempts.
     pub spent: u64,
-    /// Lent to peers.
+    /// Leased to peers.
     pub lent: u64,
-    /// Taken over from peers.
+    /// Borrowed from peers.
     pub borrowed: u64,
-    /// Earned by what was served.
+    /// Earned by served requests.
     pub earned: u64,
 }
 
-/// The account.
+/// The account of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Account {
-    terms: Terms,
-    even: u64,
-    /// Even rights in use, by when they come back. Bounded by the steps in a window and a loan.
-    out: Parcels,
-    /// Earned and borrowed, by when they are dropped. Bounded by the slices of an earned life and the loans in one.
-    have: Parcels,
-    turnover: Turnover,
+    durations: Durations,
+    base: u64,
+    /// Base tokens in use, by the time at which they return. Bounded by the number of steps in a window
+    /// and a lease.
+    in_use: BatchQueue,
+    /// Earned and borrowed tokens, by the time at which they expire. Bounded by the number of slices in
+    /// the lifetime of an earned token and the leases within one.
+    held: BatchQueue,
+    totals: AccountTotals,
 }
 
-/// Parcels by when they fall due, and their sum.
+/// Token batches ordered by due time, with their sum.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Parcels {
-    queue: VecDeque<Parcel>,
+struct BatchQueue {
+    queue: VecDeque<TokenBatch>,
     sum: u64,
 }
 
-impl Parcels {
-    fn put(&mut self, until: Micros, rights: u64) {
-        if rights == 0 {
+impl BatchQueue {
+    fn add(&mut self, until: Micros, amount: u64) {
+        if amount == 0 {
             return;
         }
-        self.sum = self.sum.saturating_add(rights);
+        self.sum = self.sum.saturating_add(amount);
         let at = self.queue.partition_point(|p| p.until < until);
         match self.queue.get_mut(at) {
-            Some(p) if p.until == until => p.rights = p.rights.saturating_add(rights),
-            _ => self.queue.insert(at, Parcel { until, rights }),
+            Some(p) if p.until == until => p.amount = p.amount.saturating_add(amount),
+            _ => self.queue.insert(at, TokenBatch { until, amount }),
         }
     }
 
-    /// Drops what fell due.
-    fn settle(&mut self, now: Micros) {
-        while let Some(parcel) = self.queue.pop_front_if(|p| p.until <= now) {
-            self.sum -= parcel.rights;
+    /// Removes the batches that fell due.
+    fn remove_due(&mut self, now: Micros) {
+        while let Some(batch) = self.queue.pop_front_if(|p| p.until <= now) {
+            self.sum -= batch.amount;
         }
     }
 
-    /// Changes what each has; drops those that have nothing any more.
-    fn change(&mut self, mut change: impl FnMut(&mut Parcel)) {
-        self.queue.iter_mut().for_each(&mut change);
-        self.queue.retain(|p| p.rights > 0);
-        self.sum = self.queue.iter().map(|p| p.rights).sum();
+    /// Changes each batch; removes those that become empty.
+    fn update_all(&mut self, mut update: impl FnMut(&mut TokenBatch)) {
+        self.queue.iter_mut().for_each(&mut update);
+        self.queue.retain(|p| p.amount > 0);
+        self.sum = self.queue.iter().map(|p| p.amount).sum();
     }
 }
 
 impl Account {
-    /// An account of a life that begins now: its even part is out, as a former life may have used all of it just now.
-    pub fn new(terms: Terms, even: u64, now: Micros) -> Self {
-        let mut account = Account::full(terms, even);
-        account.out.put(terms.up(now + terms.empty()), even);
+    /// Opens an account for a gateway life that begins now. All base tokens are in use, as the life
+    /// before may have spent them just now.
+    pub fn new(durations: Durations, base: u64, now: Micros) -> Self {
+        let mut account = Account::with_full_base(durations, base);
+        account.in_use.add(durations.round_up_to_step(now + durations.empty_period()), base);
         account
     }
 
-    /// An account with its whole even part: right for no life but the very first of a gateway.
-    pub(crate) fn full(terms: Terms, even: u64) -> Self {
+    /// Opens an account with all base tokens available. This is correct only for the first life of a
+    /// gateway.
+    pub(crate) fn with_full_base(durations: Durations, base: u64) -> Self {
         Account {
-            terms,
-            even,
-            out: Parcels::default(),
-            have: Parcels::default(),
-            turnover: Turnover::default(),
+            durations,
+            base,
+            in_use: BatchQueue::default(),
+            held: BatchQueue::default(),
+            totals: AccountTotals::default(),
         }
     }
 
-    /// Drops what fell due.
+    /// Removes expired tokens and returns base tokens whose time in use is over.
     pub fn settle(&mut self, now: Micros) {
-        self.out.settle(now);
-        self.have.settle(now);
+        self.in_use.remove_due(now);
+        self.held.remove_due(now);
     }
 
-    /// Even rights that are not out, in thousandths; as of the last `settle`.
-    pub fn even_left(&self) -> u64 {
-        self.even.saturating_sub(self.out.sum)
+    /// Base tokens that are not in use, in thousandths, as of the last `settle`.
+    pub fn base_available(&self) -> u64 {
+        self.base.saturating_sub(self.in_use.sum)
     }
 
-    /// Rights to spend, in thousandths; as of the last `settle`.
-    pub fn left(&self) -> u64 {
-        self.even_left() + self.have.sum
+    /// Tokens that can be spent, in thousandths, as of the last `settle`.
+    pub fn available(&self) -> u64 {
+        self.base_available() + self.held.sum
     }
 
-    /// When the next of what it has is dropped.
-    pub fn next_loss(&self) -> Option<Micros> {
-        self.have.queue.front().map(|p| p.until)
+    /// When the next earned or borrowed token expires.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.held.queue.front().map(|p| p.until)
     }
 
-    /// When the next even right comes back.
-    pub fn next_gain(&self) -> Option<Micros> {
-        self.out.queue.front().map(|p| p.until)
+    /// When the next base token returns.
+    pub fn next_return(&self) -> Option<Micros> {
+        self.in_use.queue.front().map(|p| p.until)
     }
 
-    /// What went through.
-    pub fn turnover(&self) -> Turnover {
-        self.turnover
+    /// Totals since the account was opened.
+    pub fn totals(&self) -> AccountTotals {
+        self.totals
     }
 
-    /// From now on the even part is this. What is out stays out, so a smaller part holds at once.
-    pub fn set_even(&mut self, even: u64) {
-        self.even = even;
+    /// Sets the number of base tokens. Tokens in use stay in use, so a lower number takes effect at
+    /// once.
+    pub fn set_base(&mut self, base: u64) {
+        self.base = base;
     }
 
-    /// What it has of earned and borrowed rights shrinks to this part: they were earned at a share that holds no longer.
-    pub fn narrow(&mut self, part: f64) {
-        self.have.change(|p| p.rights = (p.rights as f64 * part.clamp(0.0, 1.0)).floor() as u64);
+    /// Scales earned and borrowed tokens down to this part: they were earned at a share that no longer
+    /// applies.
+    pub fn scale_held(&mut self, part: f64) {
+        self.held.update_all(|p| p.amount = (p.amount as f64 * part.clamp(0.0, 1.0)).floor() as u64);
     }
 
-    /// Adds what a served request gives.
-    pub fn earn(&mut self, now: Micros, rights: u64) {
-        self.have.put(self.terms.down(now + self.terms.earned), rights);
-        self.turnover.earned += rights;
+    /// Adds the tokens that a served request earns.
+    pub fn earn(&mut self, now: Micros, amount: u64) {
+        self.held.add(self.durations.round_down_to_slice(now + self.durations.earned_lifetime), amount);
+        self.totals.earned += amount;
     }
 
-    /// Adds what a peer gave, until that moment of our clock; nothing if it is past.
-    pub fn borrow(&mut self, now: Micros, until: Micros, rights: u64) -> bool {
-        // On a grid, so that parcels stay few; rounded down, as a right may not outlive what the giver counts it for.
-        let until = until.div_euclid(self.terms.step) * self.terms.step;
+    /// Adds tokens borrowed from a peer, valid until `until` on the local clock; returns false if that
+    /// is past.
+    pub fn borrow(&mut self, now: Micros, until: Micros, amount: u64) -> bool {
+        // Expiry times lie on a grid to keep the number of batches small. They are rounded down, as a
+        // token must not outlive the time for which the lender counts it.
+        let until = until.div_euclid(self.durations.step) * self.durations.step;
         if until <= now {
             return false;
         }
-        self.have.put(until, rights);
-        self.turnover.borrowed += rights;
+        self.held.add(until, amount);
+        self.totals.borrowed += amount;
         true
     }
 
-    /// Takes rights for a send: first those that are dropped first, then even ones. What lacks is taken from even rights to
-    /// come.
+    /// Takes tokens for an attempt: first those that expire first, then base tokens. A deficit is taken
+    /// from future base tokens.
     ///
-    /// Danger: a send that went out without a right (the caller was stopped between a fall due and its tick) must count.
-    /// Harm: the account gives nothing until that is made good.
-    pub fn spend(&mut self, now: Micros, rights: u64) {
+    /// An attempt that was sent without a token (the process was stopped between an expiry and its tick)
+    /// must count as well. The cost is that the account yields nothing until the deficit has been
+    /// recovered.
+    pub fn spend(&mut self, now: Micros, amount: u64) {
         self.settle(now);
-        let rest = rights - self.take(rights, 0).iter().map(|p| p.0).sum::<u64>();
-        self.out.put(self.terms.up(now + self.terms.window), rest);
-        self.turnover.spent += rights;
+        let rest = amount - self.take_held(amount, 0).iter().map(|p| p.0).sum::<u64>();
+        self.in_use.add(self.durations.round_up_to_step(now + self.durations.window), rest);
+        self.totals.spent += amount;
     }
 
-    /// Takes at most so many from earned and borrowed ones that live beyond `least` from the beginning of time.
-    fn take(&mut self, most: u64, least: Micros) -> Vec<Part> {
-        let (mut rest, mut taken) = (most, Vec::new());
+    /// Takes at most `max_amount` earned and borrowed tokens that expire at or after `min_expiry`.
+    fn take_held(&mut self, max_amount: u64, min_expiry: Micros) -> Vec<LeasePart> {
+        let (mut rest, mut taken) = (max_amount, Vec::new());
         if rest == 0 {
             return taken;
         }
-        self.have.change(|p| {
-            let rights = if p.until < least { 0 } else { p.rights.min(rest) };
-            p.rights -= rights;
-            rest -= rights;
-            if rights > 0 {
-                taken.push((rights, p.until));
+        self.held.update_all(|p| {
+            let amount = if p.until < min_expiry { 0 } else { p.amount.min(rest) };
+            p.amount -= amount;
+            rest -= amount;
+            if amount > 0 {
+                taken.push((amount, p.until));
             }
         });
         taken
     }
 
-    /// What could be lent now with that much of the even part kept back.
-    pub fn lendable(&self, now: Micros, keep: u64) -> u64 {
-        let least = now + self.terms.loan / 2;
-        let have: u64 = self.have.queue.iter().filter(|p| p.until >= least).map(|p| p.rights).sum();
-        have + self.even_left().saturating_sub(keep)
+    /// Tokens that could be leased now if `retained` of the base tokens are retained.
+    pub fn leasable(&self, now: Micros, retained: u64) -> u64 {
+        let min_expiry = now + self.durations.lease / 2;
+        let held_amount: u64 =
+            self.held.queue.iter().filter(|p| p.until >= min_expiry).map(|p| p.amount).sum();
+        held_amount + self.base_available().saturating_sub(retained)
     }
 
-    /// Takes at most `most` off this account to be lent, and keeps that much of the even part back. What is returned is no
-    /// longer here, whether it ever arrives or not.
+    /// Takes at most `max_amount` tokens off this account for a lease and retains `retained` of the base
+    /// tokens. The tokens returned are no longer in this account, whether the grant arrives or not.
     ///
-    /// Lives: an earned right that is dropped here at `until` was served at most `earned * (1 - drift) - (until - now)` of our
-    /// clock ago; `until - now` of the *judge's* time from now is then no more than is left of half a window, as our clock may
-    /// be slow but not by more than the drift. An even right is out for `loan_held` of our clock, which is `loan` of the
-    /// judge's even if ours is fast, and then for a window.
-    pub fn lend(&mut self, now: Micros, most: u64, keep: u64, back_early: bool) -> Vec<Part> {
+    /// Lifetimes: an earned token that expires here at `until` was earned at most `earned * (1 - drift) -
+    /// (until - now)` of local time ago. `until - now` on the *reference* clock from now is therefore
+    /// within the remainder of its half window, as the local clock may be slow, but by no more than the
+    /// drift. A base token is in use for `lease_held` of local time, which covers `lease` on the reference
+    /// clock even if the local clock is fast, and then for a window.
+    pub fn lease(
+        &mut self,
+        now: Micros,
+        max_amount: u64,
+        retained: u64,
+        returns_early: bool,
+    ) -> Vec<LeasePart> {
         self.settle(now);
-        let least = now + self.terms.loan / 2;
-        let earned = self.take(most, least);
-        let given: u64 = earned.iter().map(|p| p.0).sum();
-        let left = earned.iter().map(|p| p.1 - now).min().unwrap_or(0).min(self.terms.loan);
-        let even = self.even_left().saturating_sub(keep).min(most - given);
-        let held = if back_early { 0 } else { self.terms.loan_held };
-        self.out.put(self.terms.up(now + held + self.terms.window), even);
-        self.turnover.lent += given + even;
-        [(given, left), (even, self.terms.loan)].into_iter().filter(|p| p.0 > 0).collect()
+        let min_expiry = now + self.durations.lease / 2;
+        let earned = self.take_held(max_amount, min_expiry);
+        let earned_amount: u64 = earned.iter().map(|p| p.0).sum();
+        let remaining = earned.iter().map(|p| p.1 - now).min().unwrap_or(0).min(self.durations.lease);
+        let base_amount = self.base_available().saturating_sub(retained).min(max_amount - earned_amount);
+        let lease_held = if returns_early { 0 } else { self.durations.lease_held };
+        self.in_use
+            .add(self.durations.round_up_to_step(now + lease_held + self.durations.window), base_amount);
+        self.totals.lent += earned_amount + base_amount;
+        [(earned_amount, remaining), (base_amount, self.durations.lease)]
+            .into_iter()
+            .filter(|p| p.0 > 0)
+            .collect()
     }
 }
--- a/crates/repeats/src/allowances.rs
+++ b/crates/repeats/src/allowances.rs
@@ -1,13 +1,16 @@
-//! What the decision module is to be told, between the cap that says it and the moment at which it is told.
+//! Pending notifications of allowances, between the cap that issues them and the scheduler that receives
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::cap::Allowance;
 
-/// The allowances of all shards as the module counts them, and the shards of which it has to be told.
+/// The allowances of all shards as the scheduler counts them, and the shards whose change it has not
+/// been notified of yet.
 ///
-/// Danger: a send that the module has counted off already may be counted by the cap only after it has said an allowance, which then
-/// grants that send once more. What is handed out is the last allowance less the sends since. Harm: none.
+/// The scheduler may already have counted an attempt that the cap counts only after it has issued an
+/// allowance; that allowance would then grant the same attempt twice. So each notification carries the
+/// last allowance less the attempts sent since.
 #[derive(Clone, Debug, Default)]
 pub struct Allowances {
     last: BTreeMap<u32, Allowance>,
@@ -15,31 +18,33 @@
 }
 
 impl Allowances {
-    /// The cap says an allowance, in place of the one before.
+    /// Sets the allowance of a shard, in place of the one before.
     pub fn say(&mut self, allowance: Allowance) {
         self.last.insert(allowance.shard, allowance);
         self.untold.insert(allowance.shard);
     }
 
-    /// A send to a shard takes a right.
+    /// Counts an attempt that the scheduler sent with a token of a shard.
     pub fn spend(&mut self, shard: u32) {
         if let Some(allowance) = self.last.get_mut(&shard) {
             allowance.further = allowance.further.saturating_sub(1);
         }
     }
 
-    /// A right is taken for something else than a send of the module's, which has to be told.
+    /// Takes a token for something other than an attempt of the scheduler, which has to be notified of
+    /// it.
     pub fn take(&mut self, shard: u32) {
         self.spend(shard);
         self.untold.insert(shard);
     }
 
-    /// What is left of a shard's allowance; none before the first.
+    /// What remains of the allowance of a shard; none before the first.
     pub fn left(&self, shard: u32) -> Option<u32> {
         self.last.get(&shard).map(|allowance| allowance.further)
     }
 
-    /// The next that the module has to be told. What it sends upon that has to be spent before this is called again.
+    /// The next allowance to notify the scheduler of. Attempts that it sends in response must be counted
+    /// by `spend` before the next call.
     pub fn next_untold(&mut self) -> Option<Allowance> {
         let shard = self.untold.pop_first()?;
         self.last.get(&shard).copied()
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -1,4 +1,4 @@
-//! A gateway's cap over all its shards.
+//! The retry cap of one gateway over all its shards.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,216 +9,235 @@
 
 use crate::Micros;
 use crate::account::Account;
-use crate::advice::{Asking, Post};
-use crate::lending::Lending;
-use crate::look::{Counts, ShardLook};
-use crate::options::{CapOptions, Plant, RIGHT, Terms, Trial, Way};
+use crate::leases::LeaseBook;
+use crate::options::{CapOptions, Durations, InjectedFault, Overrides, RIGHT, TokenSource};
 use crate::shard::ShardState;
-use crate::sketch::Sketch;
+use crate::shard_cap::{RequestBackoff, ShardCap};
+use crate::sketch::RepeatSketch;
+use crate::snapshot::{Counts, ShardLook};
 
-/// What happened.
+/// An event that the cap is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// An attempt went out; `further`: beyond the first of its request, or of a request known as a repeat, or a copy in the shadow.
+    /// An attempt was sent.
     Sent {
-        /// Where to.
+        /// The shard it was sent to.
         shard: u32,
-        /// Whether it needs a right.
+        /// Whether it is a retry, which needs a token: an attempt after the first of its request, any
+        /// attempt of a request recognized as a repeat, or a shadow copy.
         further: bool,
     },
     /// An attempt ended.
     Ended {
-        /// Where.
+        /// The shard it was sent to.
         shard: u32,
         /// A node served it.
         served: bool,
-        /// A node refused it; neither: it ended unserved in another way.
+        /// A node refused it. With neither flag set, it ended unserved in another way.
         refused: bool,
     },
-    /// A request (by [`crate::key_of`]) ended here unserved: a later one like it, here or elsewhere, is its repeat.
+    /// A request ended here unserved: a later one with the same key, here or at a peer, is its repeat.
     Unserved {
-        /// Its key.
+        /// Its key, from [`crate::key_of`].
         key: u64,
     },
-    /// A request was held back for want of rights.
+    /// A request was rejected for lack of tokens.
     Wanted {
         /// Its shard.
         shard: u32,
-        /// What it is worth to answer it.
+        /// The worth of answering it.
         worth: f64,
-        /// What is left of its patience, microseconds.
+        /// The time that remained for it, microseconds.
         left: Micros,
     },
-    /// Other requests wait at the module for a right than before.
+    /// The number of requests that wait in the scheduler for a token has changed.
     Waiting {
         /// Their shard.
         shard: u32,
-        /// So many wait now.
+        /// How many wait now.
         waiting: u32,
-        /// What it is worth to answer the first of them.
+        /// The worth of answering the first of them.
         worth: f64,
     },
-    /// A node of a shard is cold, silent or refuses (own sight or the view's); or none is any more.
+    /// A node of a shard is cold, silent or refusing, as seen by this gateway or reported by the
+    /// membership view; or none is any more.
     Recovers {
         /// The shard.
         shard: u32,
-        /// Whether one is.
+        /// Whether there is such a node.
         on: bool,
     },
-    /// Peers that may be asked, from the view.
+    /// The peers that may be asked for tokens, from the membership view.
     Peers(Vec<PeerName>),
-    /// A peer's note of [`crate::KIND`] came.
+    /// A message of [`crate::KIND`] arrived from a peer.
     Heard {
-        /// Whose.
+        /// The sender.
         from: PeerName,
-        /// Its life.
+        /// The sender's life.
         life: Life,
-        /// The note.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// This gateway goes on in another life: its accounts begin anew, empty for a window.
+    /// This gateway continues under a new life: its accounts start over, empty for a window.
     Renewed(Life),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the module may send to a shard beyond first attempts, until it is told otherwise.
+/// The number of retries that the scheduler may send to a shard, until the next allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
     /// The shard.
     pub shard: u32,
-    /// So many sends, from now on.
+    /// Retries that may be sent from now on.
     pub further: u32,
-    /// Advice for what gets none: how long to stay away, microseconds.
+    /// How long rejected requests should stay away before they retry, microseconds.
     pub come_back: Micros,
 }
 
-/// What the caller has to do, in this order: an allowance comes before the note that lends it away.
+/// What the caller has to do, in this order: a lowered allowance precedes the message that leases the
+/// tokens away.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a note of [`crate::KIND`].
+    /// Send a message of [`crate::KIND`].
     Send {
-        /// To whom.
+        /// The recipient.
         to: PeerName,
-        /// The note.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// In place of what was allowed before.
+    /// Notify the scheduler of an allowance, which replaces the one before.
     Allow(Allowance),
-    /// A shard's state changed, or its step did.
+    /// The state of a shard changed, or its step within [`ShardState::Widening`].
     Entered {
         /// The shard.
         shard: u32,
-        /// Its state.
+        /// The new state.
         state: ShardState,
-        /// Why.
+        /// The reason, for the log and the status page.
         why: &'static str,
     },
-    /// Something that a peer said was turned away; for the log, once for each cause and peer.
+    /// Part of a message was rejected; for the log, once for each reason and peer.
     TurnedAway {
-        /// Who said it.
+        /// The sender.
         from: PeerName,
-        /// Why.
+        /// The reason.
         why: &'static str,
     },
 }
 
-/// The cap of one gateway.
+/// The retry cap of one gateway.
 ///
-/// The caller hands in a `Tick` when [`Cap::next_due`] is reached, and after it was stopped before anything else: an allowance holds
-/// until that moment only. A send beyond it counts all the same and is made good first.
+/// The caller passes [`Input::Tick`] when [`Cap::next_due`] is reached, and as the first event after the
+/// process was stopped, as an allowance is valid only until that moment. A retry sent beyond it counts
+/// as well, and its token is recovered first.
 #[derive(Clone, Debug)]
 pub struct Cap {
     pub(crate) options: CapOptions,
-    pub(crate) terms: Terms,
-    pub(crate) trial: Trial,
+    pub(crate) durations: Durations,
+    pub(crate) overrides: Overrides,
     pub(crate) life: Life,
     pub(crate) rng: SmallRng,
-    pub(crate) posts: BTreeMap<u32, Post>,
+    pub(crate) shard_caps: BTreeMap<u32, ShardCap>,
     pub(crate) fleet: Account,
-    /// Whole rights over all shards that are dealt to shards, and when all may next be dealt anew for one that is short.
-    pub(crate) dealt: u64,
-    pub(crate) next_deal: Micros,
-    /// Shards that have rights of their own and no part of those over all shards.
-    pub(crate) without_part: BTreeSet<u32>,
-    pub(crate) fleet_asking: Asking,
-    pub(crate) lending: Lending,
-    pub(crate) sketch: Sketch,
+    /// Whole fleet-wide tokens that are assigned to shards, and when all of them may next be reassigned
+    /// for a shard that lacks some.
+    pub(crate) assigned: u64,
+    pub(crate) next_redistribution: Micros,
+    /// Shards that have tokens of their own but no fleet-wide ones.
+    pub(crate) lacking_quota: BTreeSet<u32>,
+    pub(crate) fleet_backoff: RequestBackoff,
+    pub(crate) leases: LeaseBook,
+    pub(crate) sketch: RepeatSketch,
     pub(crate) peers: Vec<PeerName>,
-    /// Worth of the wants heard in this slice, by account.
-    pub(crate) heard_worth: BTreeMap<Option<u32>, f64>,
-    pub(crate) turned: BTreeSet<(PeerName, &'static str)>,
+    /// Sum of the worth of the lease requests received in this slice, by account.
+    pub(crate) requested_worth: BTreeMap<Option<u32>, f64>,
+    pub(crate) reported_rejections: BTreeSet<(PeerName, &'static str)>,
     pub(crate) next_slice: Micros,
     pub(crate) next_step: Micros,
     pub(crate) counts: Counts,
 }
 
 impl Cap {
-    /// A gateway's cap in a life that begins now. Figures out of bounds ([`CapOptions::check`]) are taken as the nearest within.
+    /// Creates the cap of a gateway in a life that begins now. Options out of range
+    /// ([`CapOptions::check`]) are clamped to the nearest valid value.
     pub fn new(options: CapOptions, life: Life, now: Micros, seed: u64) -> Cap {
-        Cap::tried(options, Trial::default(), life, now, seed)
+        Cap::with_overrides(options, Overrides::default(), life, now, seed)
     }
 
-    /// The same with a planted mistake or another source of rights, for tests and measurements.
-    pub fn tried(options: CapOptions, trial: Trial, life: Life, now: Micros, seed: u64) -> Cap {
-        let terms = options.terms();
-        // The same seed at all gateways must not make them draw the same.
+    /// Like [`Cap::new`], with an injected fault or another source of tokens, for tests and
+    /// measurements.
+    pub fn with_overrides(
+        options: CapOptions,
+        overrides: Overrides,
+        life: Life,
+        now: Micros,
+        seed: u64,
+    ) -> Cap {
+        let durations = options.durations();
+        // Gateways that share a seed must still draw different numbers.
         let seed = xxh3_64_with_seed(options.name.0.as_bytes(), seed ^ life.nonce.0);
-        let kept = match trial.plant {
-            Some(Plant::SketchForgets) => options.window / 2,
-            _ => terms.remembered,
+        let key_retention = match overrides.fault {
+            Some(InjectedFault::SketchForgetsEarly) => options.window / 2,
+            _ => durations.key_retention,
         };
         let mut cap = Cap {
-            terms,
-            trial,
+            durations,
+            overrides,
             life,
             rng: SmallRng::seed_from_u64(seed),
-            posts: BTreeMap::new(),
-            fleet: Account::full(terms, 0),
-            dealt: 0,
-            next_deal: now,
-            without_part: BTreeSet::new(),
-            fleet_asking: Asking::new(now, &terms),
-            lending: Lending::new(terms, life, options.members, trial.plant),
-            sketch: Sketch::new(now, kept, terms.window),
+            shard_caps: BTreeMap::new(),
+            fleet: Account::with_full_base(durations, 0),
+            assigned: 0,
+            next_redistribution: now,
+            lacking_quota: BTreeSet::new(),
+            fleet_backoff: RequestBackoff::new(now, &durations),
+            leases: LeaseBook::new(durations, life, options.members, overrides.fault),
+            sketch: RepeatSketch::new(now, key_retention, durations.window),
             peers: Vec::new(),
-            heard_worth: BTreeMap::new(),
-            turned: BTreeSet::new(),
-            next_slice: terms.down(now) + terms.slice,
-            next_step: terms.next_step(now),
+            requested_worth: BTreeMap::new(),
+            reported_rejections: BTreeSet::new(),
+            next_slice: durations.round_down_to_slice(now) + durations.slice,
+            next_step: durations.next_step(now),
             counts: Counts::default(),
             options,
         };
-        cap.fleet = cap.account(cap.options.fleet_free, now);
+        cap.fleet = cap.new_account(cap.options.fleet_free, now);
         for &shard in &cap.options.shards {
-            let account = cap.account(cap.options.free, now);
-            let post = Post::new(shard, &cap.options, account, now, &terms, &mut cap.rng);
-            cap.posts.insert(shard, post);
+            let account = cap.new_account(cap.options.free, now);
+            let shard_cap = ShardCap::new(shard, &cap.options, account, now, &durations, &mut cap.rng);
+            cap.shard_caps.insert(shard, shard_cap);
         }
         cap
     }
 
-    pub(crate) fn even(&self, free: f64) -> u64 {
-        let members = match self.trial.plant {
-            Some(Plant::PartsOverSeen) => self.peers.len() + 1,
+    pub(crate) fn base_tokens(&self, free: f64) -> u64 {
+        let members = match self.overrides.fault {
+            Some(InjectedFault::DividedAmongReachable) => self.peers.len() + 1,
             _ => self.options.members,
         };
-        if self.trial.way == Way::Earned { 0 } else { self.options.even(free, members) }
+        if self.overrides.token_source == TokenSource::EarnedOnly {
+            0
+        } else {
+            self.options.base_tokens(free, members)
+        }
     }
 
-    pub(crate) fn account(&self, free: f64, now: Micros) -> Account {
-        match self.trial.plant {
-            Some(Plant::NewLifeFull) => Account::full(self.terms, self.even(free)),
-            _ => Account::new(self.terms, self.even(free), now),
+    pub(crate) fn new_account(&self, free: f64, now: Micros) -> Account {
+        match self.overrides.fault {
+            Some(InjectedFault::NewLifeStartsFull) => {
+                Account::with_full_base(self.durations, self.base_tokens(free))
+            }
+            _ => Account::new(self.durations, self.base_tokens(free), now),
         }
     }
 
-    /// Takes what happened; appends what is to be done.
+    /// Processes an event and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        let stepped = self.advance(now, out);
-        let only_earns = !stepped && matches!(input, Input::Ended { .. });
-        // Between two steps nothing falls due, and most events touch one shard.
-        let touched = match input {
+        let step_ended = self.advance(now, out);
+        let only_earns = !step_ended && matches!(input, Input::Ended { .. });
+        // Nothing expires between two steps, and most events concern one shard.
+        let event_shard = match input {
             Input::Sent { shard, .. }
             | Input::Ended { shard, .. }
             | Input::Wanted { shard, .. }
@@ -226,79 +245,91 @@
             _ => None,
         };
         match input {
-            Input::Sent { shard, further } => self.sent(now, shard, further),
-            Input::Ended { shard, served, refused: _ } => self.ended(now, shard, served),
+            Input::Sent { shard, further } => self.record_sent(now, shard, further),
+            Input::Ended { shard, served, refused: _ } => self.record_ended(now, shard, served),
             Input::Unserved { key } => self.sketch.add(now, key),
-            Input::Wanted { shard, worth, left } => self.wanted(now, shard, worth, left),
+            Input::Wanted { shard, worth, left } => self.record_rejected(now, shard, worth, left),
             Input::Waiting { shard, waiting, worth } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.set_waiting(now, waiting, worth);
+                if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
+                    shard_cap.set_waiting(now, waiting, worth);
                 }
             }
             Input::Recovers { shard, on } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.ward.see(on);
-                    self.roll(now, 0, out);
+                if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
+                    shard_cap.health.set_own_observation(on);
+                    self.evaluate_states(now, 0, out);
                 }
             }
             Input::Peers(mut peers) => {
                 peers.retain(|p| *p != self.options.name);
                 peers.truncate(self.options.members.saturating_sub(1));
                 self.peers = peers;
-                self.set_parts();
+                self.update_base_tokens();
             }
-            Input::Heard { from, life: _, body } => self.heard(now, from, &body, out),
-            Input::Renewed(life) => self.renew(now, life),
+            Input::Heard { from, life: _, body } => self.receive(now, from, &body, out),
+            Input::Renewed(life) => self.start_new_life(now, life),
             Input::Tick => {}
         }
-        let lacks = !only_earns && self.fleet.left() / RIGHT < self.dealt;
-        if lacks {
-            // Sends of a batch were counted after their rights had been dealt anew, or what was dealt has fallen due.
-            self.share_out();
+        let overassigned = !only_earns && self.fleet.available() / RIGHT < self.assigned;
+        if overassigned {
+            // Either the attempts of a batch were counted after their tokens had been reassigned, or
+            // assigned tokens expired.
+            self.distribute();
         }
-        match touched.filter(|_| !stepped && !lacks) {
-            Some(shard) => self.note_dealt(shard),
-            None => self.options.shards.clone().into_iter().for_each(|shard| self.note_dealt(shard)),
+        match event_shard.filter(|_| !step_ended && !overassigned) {
+            Some(shard) => self.update_lacking_quota(shard),
+            None => {
+                self.options.shards.clone().into_iter().for_each(|shard| self.update_lacking_quota(shard))
+            }
         }
-        match (self.deal_more(now), touched.filter(|_| !stepped && !lacks)) {
-            (Some(dealt), Some(shard)) => {
-                dealt.into_iter().chain([shard]).for_each(|shard| self.allow_one(now, shard, out));
+        match (self.assign_more(now), event_shard.filter(|_| !step_ended && !overassigned)) {
+            (Some(changed), Some(shard)) => {
+                changed.into_iter().chain([shard]).for_each(|shard| self.report_allowance(now, shard, out));
             }
-            _ => self.allow(now, out),
+            _ => self.report_allowances(now, out),
         }
     }
 
-    /// When to hand in a `Tick` at the latest.
+    /// The latest time at which to pass [`Input::Tick`].
     pub fn next_due(&self) -> Micros {
-        let lacks = self.posts.values().any(|p| p.need() > 0 || p.allowed.is_none_or(|a| a < p.target()));
-        let losses =
-            self.posts.values().map(|p| &p.account).chain([&self.fleet]).filter_map(Account::next_loss);
-        // What comes back to a shard that stands at nought is told as it does.
-        let dry = self.posts.values().filter(|p| p.allowed == Some(0));
-        let gains = dry.flat_map(|p| [p.account.next_gain(), self.fleet.next_gain()]).flatten();
-        let next = losses.chain(gains).min().unwrap_or(self.next_slice).min(self.next_slice);
-        if lacks { next.min(self.next_step) } else { next }
+        let has_need =
+            self.shard_caps.values().any(|p| p.need() > 0 || p.allowed.is_none_or(|a| a < p.sendable()));
+        let expiries = self
+            .shard_caps
+            .values()
+            .map(|p| &p.account)
+            .chain([&self.fleet])
+            .filter_map(Account::next_expiry);
+        // A token that returns to a shard without any is reported immediately.
+        let without_tokens = self.shard_caps.values().filter(|p| p.allowed == Some(0));
+        let returns =
+            without_tokens.flat_map(|p| [p.account.next_return(), self.fleet.next_return()]).flatten();
+        let next = expiries.chain(returns).min().unwrap_or(self.next_slice).min(self.next_slice);
+        if has_need { next.min(self.next_step) } else { next }
     }
 
-    /// Whether rights may have fallen due since the last event: what was allowed holds no longer, and a `Tick` has to come first.
+    /// Whether tokens may have expired since the last event. If so, the allowances are no longer valid
+    /// and [`Input::Tick`] has to be passed first.
     pub fn is_behind(&self, now: Micros) -> bool {
         now >= self.next_step
     }
 
-    /// Whether a request like this ended unserved, here or at a peer, within the window and the longest advice. May say so falsely, never the other
-    /// way of what was heard.
+    /// Whether a request with this key ended unserved, here or at a peer, within the window and the
+    /// longest retry delay. False positives are possible; false negatives are not, for what has been
+    /// received.
     pub fn is_repeat(&self, now: Micros, key: u64) -> bool {
-        self.sketch.has(now, key)
+        self.sketch.contains(now, key)
     }
 
-    /// A shard's state; normal if the cap does not hold for it.
+    /// The state of a shard; normal if the cap does not cover it.
     pub fn state(&self, shard: u32) -> ShardState {
-        self.posts.get(&shard).map_or(ShardState::Normal, |p| p.ward.state().0)
+        self.shard_caps.get(&shard).map_or(ShardState::Normal, |p| p.health.state().0)
     }
 
-    /// How many requests may wait at the module for a right of a shard, until its next [`Output::Allow`].
+    /// How many requests may wait in the scheduler for a token of a shard, until its next
+    /// [`Output::Allow`].
     pub fn may_wait(&self, shard: u32) -> u32 {
-        self.posts.get(&shard).map_or(0, |post| post.may_wait)
+        self.shard_caps.get(&shard).map_or(0, |shard_cap| shard_cap.may_wait)
     }
 
     /// Totals of this life.
@@ -306,54 +337,54 @@
         self.counts
     }
 
-    /// All shards, then all of them together.
+    /// A snapshot of each shard, followed by one of all shards together.
     pub fn look(&self, now: Micros) -> Vec<ShardLook> {
-        let sends = |rights: u64| rights as f64 / RIGHT as f64;
-        let look = |account: &Account, shard| {
-            let (mut account, turnover) = (account.clone(), account.turnover());
+        let whole_tokens = |amount: u64| amount as f64 / RIGHT as f64;
+        let snapshot = |account: &Account, shard| {
+            let (mut account, totals) = (account.clone(), account.totals());
             account.settle(now);
             ShardLook {
                 shard,
                 state: ShardState::Normal,
                 since: 0,
                 why: String::new(),
-                left: sends(account.left()),
+                left: whole_tokens(account.available()),
                 allowed: 0,
                 come_back: 0,
-                lent: sends(turnover.lent),
-                borrowed: sends(turnover.borrowed),
-                earned: sends(turnover.earned),
-                spent: sends(turnover.spent),
+                lent: whole_tokens(totals.lent),
+                borrowed: whole_tokens(totals.borrowed),
+                earned: whole_tokens(totals.earned),
+                spent: whole_tokens(totals.spent),
                 held_back: 0,
                 not_told: 0,
                 waiting: 0,
             }
         };
-        let mut all = look(&self.fleet, None);
-        let mut looks = Vec::with_capacity(self.posts.len() + 1);
-        for post in self.posts.values() {
-            let (state, since, why) = post.ward.state();
-            let (allowed, held_back) = (post.allowed.unwrap_or(0), post.held_back);
+        let mut fleet = snapshot(&self.fleet, None);
+        let mut snapshots = Vec::with_capacity(self.shard_caps.len() + 1);
+        for shard_cap in self.shard_caps.values() {
+            let (state, since, why) = shard_cap.health.state();
+            let (allowed, held_back) = (shard_cap.allowed.unwrap_or(0), shard_cap.held_back);
             let one = ShardLook {
                 state,
                 since: now - since,
                 why: why.into(),
                 allowed,
                 held_back,
-                ..look(&post.account, Some(post.shard))
+                ..snapshot(&shard_cap.account, Some(shard_cap.shard))
             };
-            let (come_back, not_told, waiting) = (post.come_back, post.not_told, post.waiting);
+            let (come_back, not_told, waiting) = (shard_cap.come_back, shard_cap.not_told, shard_cap.waiting);
             let one = ShardLook { come_back, not_told, waiting, ..one };
-            if matches!(state, ShardState::Recovering) || all.why.is_empty() {
-                (all.state, all.since, all.why) = (state, one.since, one.why.clone());
+            if matches!(state, ShardState::Recovering) || fleet.why.is_empty() {
+                (fleet.state, fleet.since, fleet.why) = (state, one.since, one.why.clone());
             }
-            all.allowed += allowed;
-            all.held_back += held_back;
-            all.not_told += not_told;
-            all.waiting += waiting;
-            looks.push(one);
+            fleet.allowed += allowed;
+            fleet.held_back += held_back;
+            fleet.not_told += not_told;
+            fleet.waiting += waiting;
+            snapshots.push(one);
         }
-        looks.push(all);
-        looks
+        snapshots.push(fleet);
+        snapshots
     }
 }
--- a/crates/repeats/src/key.rs
+++ b/crates/repeats/src/key.rs
@@ -1,13 +1,14 @@
-//! The key by which a repeat is known as one.
+//! The key by which repeats of a request are recognized.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A request's key: equal for a request and its repeats at any gateway, in any process and version.
+/// The key of a request: equal for a request and its repeats at any gateway, in any process and version.
 ///
-/// XXH3 (64 bits) of the volume, the key or first block, the class and the units, little endian: a stated function, as two
-/// gateways of different versions must agree. Two different requests share a key by chance once in 2^64; two requests
-/// for the same blocks of the same class share it always, and the second is taken for a repeat of the first if that ended unserved
-/// within the window. That is an error towards *repeat* only.
+/// XXH3 (64 bits) of the volume, the key or first block, the class and the units, little endian. The
+/// function is fixed, as gateways of different versions must agree on it. Two different requests share a
+/// key by chance once in 2^64. Two requests for the same blocks of the same class always share it, so
+/// the second is taken for a repeat of the first if the first ended unserved within the window. Errors
+/// are therefore only towards *repeat*.
 pub fn key_of(volume: u32, key: u64, class: u8, units: u32) -> u64 {
     let mut bytes = [0; 17];
     bytes[..4].copy_from_slice(&volume.to_le_bytes());
@@ -17,8 +18,8 @@
     xxh3_64(&bytes)
 }
 
-/// The key of a request of this host: the same at every gateway that the host uses, and another one for the same blocks asked for by
-/// another host.
+/// The key of a request of a host: the same at every gateway that the host uses, and different from that
+/// of another host's request for the same blocks.
 ///
 /// XXH3 (64 bits) of the host's name, with the request's [`key_of`] as the seed.
 pub fn key_of_host(host: &str, key: u64) -> u64 {
@@ -30,10 +31,10 @@
     use super::*;
 
     #[test]
-    fn a_key_is_the_same_in_every_process_and_tells_requests_apart() {
+    fn a_key_is_stable_across_processes_and_distinguishes_requests() {
         assert_eq!(key_of(1, 2, 3, 4), key_of(1, 2, 3, 4));
-        // Written down, so that a change of the function is noticed: gateways of two versions would no longer agree.
-        assert_eq!(key_of(1, 4096, 0, 8), KNOWN);
+        // A change of the function must fail this test: gateways of two versions would no longer agree.
+        assert_eq!(key_of(1, 4096, 0, 8), EXPECTED_KEY);
         let keys = [
             key_of(1, 2, 3, 4),
             key_of(2, 2, 3, 4),
@@ -47,14 +48,14 @@
     }
 
     #[test]
-    fn two_hosts_that_ask_for_the_same_have_two_keys() {
+    fn requests_of_two_hosts_for_the_same_blocks_have_different_keys() {
         let key = key_of(1, 4096, 0, 8);
         assert_eq!(key_of_host("nqn.a", key), key_of_host("nqn.a", key));
         assert_ne!(key_of_host("nqn.a", key), key_of_host("nqn.b", key));
         assert_ne!(key_of_host("nqn.a", key), key_of_host("nqn.a", key + 1));
-        assert_eq!(key_of_host("nqn.a", key), KNOWN_OF_HOST);
+        assert_eq!(key_of_host("nqn.a", key), EXPECTED_HOST_KEY);
     }
 
-    const KNOWN: u64 = 7_475_634_194_794_638_259;
-    const KNOWN_OF_HOST: u64 = 7_498_595_048_485_242_740;
+    const EXPECTED_KEY: u64 = 7_475_634_194_794_638_259;
+    const EXPECTED_HOST_KEY: u64 = 7_498_595_048_485_242_740;
 }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -1,45 +1,54 @@
-//! One cap on repeats over all gateways, without I/O: sockets, clocks and the decision module are its user's.
+//! One cap on retries over all gateways of a fleet, without I/O: the caller provides sockets, clocks and
+//! the scheduler.
 //!
-//! The rule is the fleet's. Over all gateways, in any window, the sends to a shard beyond the first for each request (further
-//! attempts, clients' repeats at any gateway, copies in the shadow) are at most `free + share x served`; while a node of it recovers,
-//! `recovering_share` and a quarter of `free`; the same with other figures over all shards together. It is judged from
-//! the nodes' records. docs/fleet/cap.md states and derives the slack.
+//! The limit applies to the fleet as a whole. Over all gateways, in any window, the attempts sent to a
+//! shard beyond the first of each request (retries by a gateway, clients' repeats at any gateway, shadow
+//! copies) are at most `free + share x served`. While a node of the shard recovers, `recovering_share`
+//! and a quarter of `free` apply. The same limit with other values applies to all shards together.
+//! Compliance is checked against the records of the nodes. docs/fleet/cap.md states the limit and
+//! derives its slack.
 //!
-//! - [`account::Account`]: rights with an expiry, which add up to the rule whoever is cut from whom.
-//! - [`lending::Lending`]: rights lent between gateways: a lost note loses some, none ever doubles them.
-//! - [`sketch::Sketch`]: which requests ended unserved of late, so that a repeat is known where it arrives.
-//! - [`shard::Ward`]: a shard's state, and when repeats are held down.
-//! - [`Cap`]: all of these for a gateway's shards, and what the decision module is allowed.
+//! - [`account::Account`]: retry tokens with an expiry, whose sum obeys the limit whatever the network
+//!   partitions.
+//! - [`leases::LeaseBook`]: tokens leased between gateways: a lost message loses some, none adds any.
+//! - [`sketch::RepeatSketch`]: which requests ended unserved recently, to recognize a repeat wherever it
+//!   arrives.
+//! - [`shard::ShardHealth`]: the state of a shard, which decides when retries are reduced.
+//! - [`Cap`]: all of these for the shards of a gateway, and what the scheduler is allowed to send.
 //!
-//! What it is not: a limit on first sends, a choice of node, time or attempt for a request, a vote. A repeat that a foreign host
-//! sends unmarked and under another key is not seen. Two processes that run under one name at one time have its even part twice, until
-//! `peer` tells the older that its life is over.
+//! Out of scope: limiting first attempts; choosing the node, time or attempt for a request; voting. A
+//! repeat that a foreign host sends unmarked and under another key is not recognized. Two processes that
+//! run under one name at the same time have its base tokens twice, until `peer` tells the older one that
+//! its life is over.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod account;
-mod advice;
 mod allowances;
 mod cap;
-mod course;
-mod dealing;
-mod exchange;
+mod events;
+mod fleet_quota;
 mod key;
-pub mod lending;
-mod look;
+pub mod leases;
 pub mod message;
+mod messaging;
 mod options;
 pub mod shard;
+mod shard_cap;
 pub mod sketch;
+mod snapshot;
 
 pub use allowances::Allowances;
 pub use cap::{Allowance, Cap, Input, Output};
 pub use key::{key_of, key_of_host};
-pub use look::{Counts, ShardLook};
 pub use message::KIND;
-pub use options::{CapOptions, OptionsError, Plant, RECOVERING_FREE, RESERVE, RIGHT, Terms, Trial, Way};
+pub use options::{
+    CapOptions, Durations, InjectedFault, OptionsError, Overrides, RECOVERING_FREE_PART, RESERVED_PART,
+    RIGHT, TokenSource,
+};
 pub use shard::ShardState;
+pub use snapshot::{Counts, ShardLook};
 
-/// Microseconds on the caller's clock, which only ever goes forward.
+/// Microseconds on the caller's clock, which never goes backwards.
 pub type Micros = i64;
--- a/crates/repeats/src/message.rs
+++ b/crates/repeats/src/message.rs
@@ -1,4 +1,4 @@
-//! What gateways say to each other about repeats: one note of `peer`, of [`KIND`].
+//! Messages between the caps of two gateways, each the body of a `peer` message of [`KIND`].
 
 use std::num::NonZeroU32;
 
@@ -7,109 +7,112 @@
 
 use crate::Micros;
 
-/// The kind of this package's notes.
+/// The kind of this package's messages.
 pub const KIND: Kind = Kind(3);
-/// The longest body that is read, in bytes.
-pub const MOST_BODY: usize = 16 << 10;
-/// The longest list in a body that is read.
-pub const MOST_LIST: usize = 256;
+/// The longest body that is accepted, in bytes.
+pub const MAX_BODY_BYTES: usize = 16 << 10;
+/// The longest list in a body that is accepted.
+pub const MAX_LIST_LEN: usize = 256;
 
-/// A gateway lacks rights.
+/// A request for a lease of tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Want {
-    /// Rises within the asker's life.
+    /// Increases within the borrower's life.
     pub number: u64,
-    /// The shard; none: rights over all shards.
+    /// The shard; none for fleet-wide tokens.
     #[serde(default)]
     pub shard: Option<u32>,
-    /// Thousandths of a right.
+    /// Requested amount, in thousandths of a token.
     pub amount: u64,
-    /// What waits for them is worth, aged; for the giver to weigh wants with.
+    /// Aged worth of the requests that wait for the tokens; lenders weigh lease requests by it.
     #[serde(default)]
     pub worth: f64,
-    /// The asker's life.
+    /// The borrower's life.
     pub life: Life,
 }
 
-/// A gateway has taken rights off its account for another.
+/// A lease: tokens that the lender has taken off its account for the borrower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// The want's number.
+    /// The number of the lease request.
     pub number: u64,
-    /// The want's shard.
+    /// The shard of the lease request.
     #[serde(default)]
     pub shard: Option<u32>,
-    /// Thousandths, and the microseconds that they may live from the giving.
+    /// Thousandths of a token, and their lifetime in microseconds from the moment of the grant.
     pub parts: Vec<(u64, Micros)>,
-    /// The asker's life, from the want.
+    /// The borrower's life, from the lease request.
     pub life: Life,
-    /// They were given under what holds while a node of the shard recovers.
+    /// The lease was granted under the limits that apply while a node of the shard recovers.
     #[serde(default)]
     pub recovering: bool,
 }
 
-/// What a gateway has seen itself of a shard; never what it was told.
+/// What a gateway has observed of a shard itself; never what a peer reported to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
     /// The shard.
     pub shard: u32,
-    /// It sees a node of it cold, silent or refusing.
+    /// It sees a node of the shard as cold, silent or refusing.
     #[serde(default)]
     pub seen: bool,
-    /// Of what ended there in its last window or quarter of one, if that shows trouble: served, and refused or unserved.
+    /// Requests served in its last window or quarter of one, if that period shows trouble; 0 otherwise.
     #[serde(default)]
     pub served: u32,
-    /// See `served`.
+    /// Requests refused or unserved in the same period.
     #[serde(default)]
     pub bad: u32,
 }
 
-/// Keys of requests that ended unserved at the sender of late, as a filter's bits.
+/// Keys of requests that ended unserved at the sender recently, as the bits of a Bloom filter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bits {
-    /// The filter's size in bits; a filter of another size is passed over.
+pub struct FilterBits {
+    /// Size of the filter in bits; a filter of another size is ignored.
     pub size: Option<NonZeroU32>,
-    /// Places of the bits that are set, two bytes each (little endian), while that is shorter; else the whole filter.
+    /// If set, `bytes` lists the positions of the set bits, two bytes each (little endian), which is
+    /// used while it is shorter; otherwise `bytes` is the whole filter.
     #[serde(default)]
     pub places: bool,
-    /// See `places`.
+    /// The positions, or the whole filter.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// One note.
+/// A message to a peer's cap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Word {
-    /// Rights asked for.
+    /// Lease requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub wants: Vec<Want>,
-    /// Rights given.
+    /// Leases granted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub grants: Vec<Grant>,
-    /// What the sender has seen.
+    /// Observations of the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub facts: Vec<Fact>,
-    /// What ended unserved there.
+    /// Requests that ended unserved at the sender.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub unserved: Option<Bits>,
+    pub unserved: Option<FilterBits>,
 }
 
 impl Word {
-    /// Reads a body; says why not.
+    /// Decodes a body; returns the reason if it is rejected.
     pub fn read(body: &[u8]) -> Result<Word, &'static str> {
-        if body.len() > MOST_BODY {
-            return Err("a note about repeats is longer than is read");
+        if body.len() > MAX_BODY_BYTES {
+            return Err("retry cap message exceeds the size limit");
         }
-        let word: Word = peer::wire::decode(body).ok_or("a note about repeats cannot be read")?;
+        let word: Word = peer::wire::decode(body).ok_or("retry cap message cannot be decoded")?;
         let grants = word.grants.iter().map(|g| g.parts.len()).max().unwrap_or(0);
-        if [word.wants.len(), word.grants.len(), word.facts.len(), grants].into_iter().any(|n| n > MOST_LIST)
+        if [word.wants.len(), word.grants.len(), word.facts.len(), grants]
+            .into_iter()
+            .any(|n| n > MAX_LIST_LEN)
         {
-            return Err("a note about repeats has a list that is too long");
+            return Err("retry cap message has a list that is too long");
         }
         Ok(word)
     }
 
-    /// Nothing to say.
+    /// Whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         *self == Word::default()
     }
--- a/crates/repeats/src/options.rs
+++ b/crates/repeats/src/options.rs
@@ -1,66 +1,69 @@
-//! The rule's figures, and the times and amounts that follow from them.
+//! The options of the cap, and the durations and amounts derived from them.
 
 use peer::PeerName;
 
 use crate::Micros;
 
-/// A right is to one send; accounts are kept in thousandths.
+/// One token pays for one retry; accounts count in thousandths of it.
 pub const RIGHT: u64 = 1_000;
-/// The part of `free` that is left while a node of the shard recovers; each gateway has its even part of that.
-pub const RECOVERING_FREE: f64 = 0.25;
-/// The part of its even part that a gateway never lends.
-pub const RESERVE: f64 = 0.125;
-/// Slices of a window: what was earned falls due at a slice's end.
-pub const SLICES: Micros = 16;
-/// Steps of a slice: what is borrowed falls due, and what is out comes back, at a step's end.
-const STEPS: Micros = 4;
-
-/// What the cap is told once.
+/// The part of `free` that remains while a node of the shard recovers; each gateway has its base tokens
+/// of that.
+pub const RECOVERING_FREE_PART: f64 = 0.25;
+/// The part of its base tokens that a gateway never leases to peers.
+pub const RESERVED_PART: f64 = 0.125;
+/// Slices in a window: earned tokens expire at the end of a slice.
+pub const SLICES_PER_WINDOW: Micros = 16;
+/// Steps in a slice: borrowed tokens expire, and tokens in use return, at the end of a step.
+const STEPS_PER_SLICE: Micros = 4;
+
+/// Options of a gateway's cap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapOptions {
-    /// This gateway.
+    /// The name of this gateway.
     pub name: PeerName,
-    /// Gateways that the site file names, this one included: parts are even over these, never over those that happen to be seen.
+    /// Gateways in the site file, including this one. Base tokens are divided among these, never among
+    /// the gateways that are currently reachable.
     pub members: usize,
-    /// The window of the rule, microseconds.
+    /// The window of the limit, microseconds.
     pub window: Micros,
-    /// Further sends to one shard that the whole fleet has in a window whatever is served.
+    /// Retries to one shard that the whole fleet has in each window, whatever is served.
     pub free: f64,
-    /// Further sends to a shard for each that it has served.
+    /// Retries to a shard that each request it serves adds.
     pub share: f64,
-    /// The same while a node of the shard recovers.
+    /// `share` while a node of the shard recovers.
     pub recovering_share: f64,
     /// `free` over all shards together.
     pub fleet_free: f64,
     /// `share` over all shards together.
     pub fleet_share: f64,
-    /// The part by which a gateway's clock may run faster or slower than the one that the rule is judged by; below one half.
+    /// The part by which a gateway's clock may run faster or slower than the reference clock; below one
+    /// half.
     pub drift: f64,
-    /// The shards that the cap holds for.
+    /// The shards that the cap covers.
     pub shards: Vec<u32>,
-    /// How long a node warms, microseconds: what advice is spread over.
+    /// How long a node takes to warm up, microseconds: retry delays are spread over at least this time.
     pub warming: Micros,
-    /// The longest advice, microseconds.
+    /// The longest retry delay advised, microseconds.
     pub most_advice: Micros,
 }
 
-/// Why the figures cannot be used.
+/// Why options are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum OptionsError {
-    /// A number that is no number, is below nought, or is beyond its bound.
+    /// A number is not finite or out of range.
     #[error("repeats: {0} is {1}: give a number from {2} to {3}")]
     Range(&'static str, f64, f64, f64),
-    /// No member.
+    /// The number of members is zero.
     #[error("repeats: members is 0: name the gateways of the site, this one included")]
     NoMembers,
-    /// A window or a warming that is no time.
+    /// A duration is too short.
     #[error("repeats: {0} is {1} us: give at least {2} us")]
     TooShort(&'static str, Micros, Micros),
 }
 
 impl CapOptions {
-    /// Figures to begin with: a window of a second, a tenth of what is served, four free sends a window for each member: one
-    /// is left of them while a node recovers.
+    /// Default options: a window of one second, a tenth of what is served, and four free retries a
+    /// window for each member, of which one remains while a node recovers.
     pub fn new(name: PeerName, members: usize, shards: Vec<u32>) -> Self {
         let free = 4.0 * members.max(1) as f64;
         let fleet_free = free * shards.len().clamp(1, 4) as f64;
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Whether these can be used; names the first figure that cannot.
+    /// Returns an error for the first invalid option.
     pub fn check(&self) -> Result<(), OptionsError> {
         if self.members == 0 {
             return Err(OptionsError::NoMembers);
@@ -106,124 +109,129 @@
         Ok(())
     }
 
-    /// The times that follow.
-    pub fn terms(&self) -> Terms {
-        // Danger: figures out of bounds would make a slice of nought. They are held within what `check` demands; a caller
-        // that does not check gets a cap that is tighter than it asked for, never a looser one.
+    /// The durations that follow from the options.
+    pub fn durations(&self) -> Durations {
+        // Out-of-range options could make a slice of zero length, so they are clamped to the range that
+        // `check` requires. A caller that skips `check` gets a tighter cap than it asked for, never a
+        // looser one.
         let drift = self.drift.clamp(0.0, 0.4);
         let window = self.window.max(6_400);
-        // A slice is whole steps, so that whatever falls due does so at a step's end.
-        let step = window / (SLICES * STEPS);
-        let slice = step * STEPS;
-        let longer = |t: Micros| (t as f64 * (1.0 + drift)).ceil() as Micros;
-        let shorter = |t: Micros| (t as f64 * (1.0 - drift)).floor() as Micros;
-        Terms {
+        // A slice is a whole number of steps, so that everything expires at the end of a step.
+        let step = window / (SLICES_PER_WINDOW * STEPS_PER_SLICE);
+        let slice = step * STEPS_PER_SLICE;
+        let lengthened = |t: Micros| (t as f64 * (1.0 + drift)).ceil() as Micros;
+        let shortened = |t: Micros| (t as f64 * (1.0 - drift)).floor() as Micros;
+        Durations {
             slice,
             step,
-            window: longer(window) + slice / 2,
-            remembered: longer(window + self.most_advice.max(0)),
-            earned: shorter(window / 2),
-            loan: window / 8,
-            loan_held: longer(window / 8),
+            window: lengthened(window) + slice / 2,
+            key_retention: lengthened(window + self.most_advice.max(0)),
+            earned_lifetime: shortened(window / 2),
+            lease: window / 8,
+            lease_held: lengthened(window / 8),
             drift: (drift * 1e6).ceil() as i64,
         }
     }
 
-    /// A gateway's even part of so many free sends, in thousandths, rounded down.
-    pub(crate) fn even(&self, free: f64, members: usize) -> u64 {
+    /// A gateway's base tokens of `free` retries, in thousandths, rounded down.
+    pub(crate) fn base_tokens(&self, free: f64, members: usize) -> u64 {
         (free.max(0.0) * RIGHT as f64 / members.max(1) as f64).floor() as u64
     }
 }
 
-/// Times on this gateway's own clock, already stretched or shortened by the drift, whichever is safe.
+/// Durations on this gateway's own clock, lengthened or shortened by the drift, whichever is safe.
 ///
-/// A clock runs at `1 - drift` to `1 + drift` of the judge's. What must last at least `t` of the judge's time is held for
-/// `t * (1 + drift)` of ours; what must not outlive `t` is dropped after `t * (1 - drift)`.
+/// A clock runs at `1 - drift` to `1 + drift` of the reference clock. What must last for at least `t` on
+/// the reference clock is held for `t * (1 + drift)` of local time; what must not outlive `t` is dropped
+/// after `t * (1 - drift)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// The grid on which earned rights fall due.
+pub struct Durations {
+    /// The grid on which earned tokens expire.
     pub slice: Micros,
-    /// The grid on which borrowed rights fall due and spent ones come back.
+    /// The grid on which borrowed tokens expire and spent base tokens return.
     pub step: Micros,
-    /// A spent even right comes back after this: the window, and half a slice for sends that are so long on their way.
+    /// A spent base token returns after this: the window, and half a slice for attempts that take that
+    /// long to arrive.
     pub window: Micros,
-    /// Keys of unserved requests are known for this long: the window and the longest advice.
-    pub remembered: Micros,
-    /// A right that was earned is dropped after this: half a window.
-    pub earned: Micros,
-    /// What a loan's life is stated as, in the judge's time: an eighth of a window.
-    pub loan: Micros,
-    /// How long a giver counts a loan as in use: the loan's life, on a clock that may be fast.
-    pub loan_held: Micros,
-    /// In millionths, rounded up.
+    /// Keys of unserved requests are remembered for this long: the window and the longest retry delay.
+    pub key_retention: Micros,
+    /// An earned token expires after this: half a window.
+    pub earned_lifetime: Micros,
+    /// The term of a lease on the reference clock: an eighth of a window.
+    pub lease: Micros,
+    /// How long a lender counts leased tokens as in use: the term of the lease, on a clock that may be
+    /// fast.
+    pub lease_held: Micros,
+    /// The drift in millionths, rounded up.
     drift: i64,
 }
 
-impl Terms {
-    /// How long what may live `left` of the judge's time is kept by a clock that may be slow.
-    pub fn kept(&self, left: Micros) -> Micros {
+impl Durations {
+    /// How long a lifetime of `left` on the reference clock lasts on a clock that may be slow.
+    pub fn local_lifetime(&self, left: Micros) -> Micros {
         left - (left * self.drift + 999_999).div_euclid(1_000_000)
     }
 
-    /// A new life is empty for this long: a former one may have lent all in its last moment.
-    pub fn empty(&self) -> Micros {
-        self.window + self.loan_held
+    /// A new life has no base tokens for this long: the life before may have leased all of them in its
+    /// last moment.
+    pub fn empty_period(&self) -> Micros {
+        self.window + self.lease_held
     }
 
-    /// The end of the step that `at` is in; `at` itself on the grid.
-    pub(crate) fn up(&self, at: Micros) -> Micros {
+    /// Rounds `at` up to the end of its step; a time on the grid stays.
+    pub(crate) fn round_up_to_step(&self, at: Micros) -> Micros {
         (at + self.step - 1).div_euclid(self.step) * self.step
     }
 
-    /// The next step's beginning after `at`.
+    /// The beginning of the first step after `at`.
     pub(crate) fn next_step(&self, at: Micros) -> Micros {
         (at.div_euclid(self.step) + 1) * self.step
     }
 
-    /// The beginning of the slice that `at` is in.
-    pub(crate) fn down(&self, at: Micros) -> Micros {
+    /// Rounds `at` down to the beginning of its slice.
+    pub(crate) fn round_down_to_slice(&self, at: Micros) -> Micros {
         at.div_euclid(self.slice) * self.slice
     }
 }
 
-/// A mistake that a test plants to see that it is caught. None in use.
+/// A fault that a test injects to show that the checks find it. Never set in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Plant {
-    /// A grant goes out and the giver's account is left as it was.
-    LentBeforeTaken,
-    /// A grant's life is counted from when it came.
-    GrantUsedLate,
-    /// A grant that comes twice is taken twice.
-    GrantTakenTwice,
-    /// A new life has its whole even part at once.
-    NewLifeFull,
-    /// The sketch forgets after half a window.
-    SketchForgets,
-    /// Parts are even over the members that are seen.
-    PartsOverSeen,
-    /// A lent even right comes back a window after it was lent, not after its latest use.
-    LoanBackEarly,
-    /// A peer's word is passed on as one's own.
-    WordPassedOn,
+pub enum InjectedFault {
+    /// A lease is granted without taking the tokens off the lender's account.
+    LeaseNotDebited,
+    /// The lifetime of a lease is counted from its arrival.
+    LeaseCountedFromArrival,
+    /// A duplicated grant is accepted twice.
+    GrantAcceptedTwice,
+    /// A new life starts with all of its base tokens.
+    NewLifeStartsFull,
+    /// Keys of unserved requests are forgotten after half a window.
+    SketchForgetsEarly,
+    /// Base tokens are divided among the reachable members.
+    DividedAmongReachable,
+    /// A leased base token returns a window after the grant, not after its latest possible use.
+    LeaseReturnsEarly,
+    /// A peer's observation is reported as the gateway's own.
+    PeerReportsForwarded,
 }
 
-/// Where a gateway's rights come from; the others than `Escrow` are there to be measured beside it.
+/// Where the tokens of a gateway come from. All but `Escrow` exist to be compared with it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
-    /// The even part alone.
-    Even,
-    /// What one served itself, alone.
-    Earned,
-    /// Both, and lent.
+pub enum TokenSource {
+    /// Base tokens only.
+    BaseOnly,
+    /// Only tokens earned by requests served at the gateway itself.
+    EarnedOnly,
+    /// Both, with leases between gateways.
     #[default]
     Escrow,
 }
 
-/// What a test or a measurement sets beside the options; nothing in use.
+/// Overrides for tests and measurements. The default is what runs in production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trial {
-    /// A mistake.
-    pub plant: Option<Plant>,
-    /// Where rights come from.
-    pub way: Way,
+pub struct Overrides {
+    /// An injected fault.
+    pub fault: Option<InjectedFault>,
+    /// Where tokens come from.
+    pub token_source: TokenSource,
 }
--- a/crates/repeats/src/shard.rs
+++ b/crates/repeats/src/shard.rs
@@ -1,9 +1,12 @@
-//! The state of one shard, as one gateway sees it.
+//! The state of one shard, as seen by one gateway.
 //!
-//! *Recovering* is entered by own sight or by what peers have seen themselves, and left as served answers show it. What a peer
-//! says holds for a window, and is only ever what it saw itself, so that no word goes round. One peer alone is believed for
-//! [`ALONE`] windows, then not until it has been silent for [`REST`]: a gateway that is cut off from a node, or lies, cannot hold
-//! the others for ever. And whoever says so, a shard that has served here without trouble for [`health`](Ward::health) is left alone.
+//! A shard enters *recovering* by this gateway's own observations or by those that peers made
+//! themselves, and leaves it as served requests show that it is back. A peer's report is valid for a
+//! window, and contains only what the peer observed itself, so reports cannot circulate. A single peer
+//! is believed for [`SINGLE_PEER_WINDOWS`] windows, and then not until it has been silent for
+//! [`PEER_RESET_WINDOWS`]: a gateway that is cut off from a node, or reports falsely, cannot hold the
+//! others in *recovering* forever. Whatever is reported, a shard that has served requests here without
+//! trouble for [`health_period`](ShardHealth::health_period) stays out of *recovering*.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,238 +15,253 @@
 
 use crate::Micros;
 use crate::message::Fact;
-use crate::options::{CapOptions, SLICES};
+use crate::options::{CapOptions, SLICES_PER_WINDOW};
 
-/// Windows for which a single peer's word is believed.
-pub const ALONE: Micros = 4;
-/// Windows of silence after which a single peer is believed anew.
-pub const REST: Micros = 8;
-/// Steps from the recovering share back to the whole one, half a window each.
-pub const STEPS: u32 = 4;
-/// So many that ended in a quarter of a window, all bad, are own sight of trouble.
-const FEW: u32 = 8;
-/// Of so many ended in a window, three quarters bad are.
-const MANY: u32 = 24;
-/// Of so many served in a window, with less than a twentieth bad, the window was healthy.
-const HEALTHY: u32 = 16;
+/// Windows for which the reports of a single peer are believed.
+pub const SINGLE_PEER_WINDOWS: Micros = 4;
+/// Windows of silence after which a single peer is believed again.
+pub const PEER_RESET_WINDOWS: Micros = 8;
+/// Steps from the recovering share back to the full one, half a window each.
+pub const WIDENING_STEPS: u32 = 4;
+/// This many attempts that ended in a quarter of a window, all bad, are an observation of trouble.
+const MIN_BAD_IN_QUARTER: u32 = 8;
+/// Of this many attempts that ended in a window, three quarters bad are an observation of trouble.
+const MIN_ENDED_IN_WINDOW: u32 = 24;
+/// A window is healthy with this many served and less than a twentieth as many bad.
+const MIN_SERVED_IF_HEALTHY: u32 = 16;
 /// Slices in a quarter of a window.
-const QUARTER: usize = SLICES as usize / 4;
+const SLICES_PER_QUARTER: usize = SLICES_PER_WINDOW as usize / 4;
 
-/// What repeats a shard bears.
+/// How many retries a shard can take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ShardState {
-    /// All is well.
+    /// No trouble.
     Normal,
-    /// A tenth of what ends is bad, or requests are held back for want of rights: nothing is taken away yet.
+    /// A tenth of what ends is bad, or requests are rejected for lack of tokens; nothing is reduced yet.
     Strained,
-    /// A node of it is cold, silent or refuses: repeats at the recovering share.
+    /// A node of the shard is cold, silent or refusing: retries at the recovering share.
     Recovering,
-    /// Served answers show that it is back; the share rises in steps.
+    /// Served requests show that the shard is back; the share rises in steps.
     Widening,
 }
 
-/// What happened in a slice.
+/// Counts of one slice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Ended served.
+pub struct SliceCounts {
+    /// Attempts that ended served.
     pub served: u32,
-    /// Ended refused, or unserved in another way.
+    /// Attempts that were refused or ended unserved in another way.
     pub bad: u32,
-    /// Further sends.
-    pub further: u32,
-    /// Held back for want of a right.
-    pub held: u32,
+    /// Retries sent.
+    pub retries: u32,
+    /// Requests rejected for lack of a token.
+    pub rejected: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerReports {
     first: Micros,
     last: Micros,
 }
 
-/// A shard's state, and what it was judged by.
+/// The state of a shard, and the observations that it is based on.
 #[derive(Clone, Debug)]
-pub struct Ward {
+pub struct ShardHealth {
     state: ShardState,
-    why: &'static str,
+    reason: &'static str,
     since: Micros,
     step: u32,
-    /// Own sight of a node that is cold, silent or refuses.
-    seen: bool,
-    heard: BTreeMap<PeerName, Heard>,
-    /// Since when every window here was a healthy one.
-    healthy: Option<Micros>,
-    /// The last window by slices; the newest last.
-    slices: VecDeque<Tally>,
+    /// Whether this gateway sees a node that is cold, silent or refusing.
+    sees_trouble: bool,
+    peer_reports: BTreeMap<PeerName, PeerReports>,
+    /// Since when every window here has been healthy.
+    healthy_since: Option<Micros>,
+    /// The last window by slices, newest last.
+    slices: VecDeque<SliceCounts>,
     window: Micros,
-    health: Micros,
-    most_heard: usize,
+    health_period: Micros,
+    max_peers: usize,
 }
 
-impl Ward {
-    /// Normal, nothing seen.
+impl ShardHealth {
+    /// Creates the state of a shard of which nothing has been observed.
     pub fn new(options: &CapOptions, now: Micros) -> Self {
-        Ward {
+        ShardHealth {
             state: ShardState::Normal,
-            why: "it began so",
+            reason: "no observations yet",
             since: now,
-            step: STEPS,
-            seen: false,
-            heard: BTreeMap::new(),
-            healthy: None,
-            slices: VecDeque::from([Tally::default()]),
+            step: WIDENING_STEPS,
+            sees_trouble: false,
+            peer_reports: BTreeMap::new(),
+            healthy_since: None,
+            slices: VecDeque::from([SliceCounts::default()]),
             window: options.window,
-            health: 2 * options.warming + ALONE * options.window,
-            most_heard: options.members,
+            health_period: 2 * options.warming + SINGLE_PEER_WINDOWS * options.window,
+            max_peers: options.members,
         }
     }
 
-    /// State, since when, why.
+    /// The state, since when, and why.
     pub fn state(&self) -> (ShardState, Micros, &'static str) {
-        (self.state, self.since, self.why)
+        (self.state, self.since, self.reason)
     }
 
-    /// How long a shard must serve here without trouble until it is left alone, whoever says what: twice the warming and
-    /// [`ALONE`] windows.
-    pub fn health(&self) -> Micros {
-        self.health
+    /// How long a shard must serve requests here without trouble before reports of trouble are ignored:
+    /// twice the warm-up time and [`SINGLE_PEER_WINDOWS`] windows.
+    pub fn health_period(&self) -> Micros {
+        self.health_period
     }
 
-    /// From 0 (the recovering share) to 1 (the whole one).
+    /// The position between the recovering share (0) and the full one (1).
     pub fn width(&self) -> f64 {
         match self.state {
             ShardState::Normal | ShardState::Strained => 1.0,
             ShardState::Recovering => 0.0,
-            ShardState::Widening => f64::from(self.step) / f64::from(STEPS),
+            ShardState::Widening => f64::from(self.step) / f64::from(WIDENING_STEPS),
         }
     }
 
-    /// The tally that is filled now.
-    pub fn tally(&mut self) -> &mut Tally {
+    /// The counts of the current slice.
+    pub fn current_slice(&mut self) -> &mut SliceCounts {
         if self.slices.is_empty() {
-            self.slices.push_back(Tally::default());
+            self.slices.push_back(SliceCounts::default());
         }
         let last = self.slices.len() - 1;
         &mut self.slices[last]
     }
 
     /// Sums over the newest `slices`.
-    pub fn sum(&self, slices: usize) -> Tally {
-        self.slices.iter().rev().take(slices).fold(Tally::default(), |a, t| Tally {
+    pub fn sum(&self, slices: usize) -> SliceCounts {
+        self.slices.iter().rev().take(slices).fold(SliceCounts::default(), |a, t| SliceCounts {
             served: a.served + t.served,
             bad: a.bad + t.bad,
-            further: a.further + t.further,
-            held: a.held + t.held,
+            retries: a.retries + t.retries,
+            rejected: a.rejected + t.rejected,
         })
     }
 
-    /// Own sight of a node that is cold, silent or refuses, or of none any more.
-    pub fn see(&mut self, on: bool) {
-        self.seen = on;
+    /// Sets whether this gateway sees a node that is cold, silent or refusing.
+    pub fn set_own_observation(&mut self, on: bool) {
+        self.sees_trouble = on;
     }
 
-    /// What a peer saw. Without evidence in it it is nothing.
-    pub fn hear(&mut self, now: Micros, from: &PeerName, fact: &Fact) {
-        if !fact.seen && !is_trouble(fact.served, fact.bad) {
+    /// Records a peer's observation, unless it contains no evidence of trouble.
+    pub fn record_peer_observation(&mut self, now: Micros, from: &PeerName, observation: &Fact) {
+        if !observation.seen && !shows_trouble(observation.served, observation.bad) {
             return;
         }
-        if !self.heard.contains_key(from) && self.heard.len() >= self.most_heard {
+        if !self.peer_reports.contains_key(from) && self.peer_reports.len() >= self.max_peers {
             return;
         }
-        let word = self.heard.entry(from.clone()).or_insert(Heard { first: now, last: now });
-        if now - word.last > REST * self.window {
-            word.first = now;
+        let reports = self.peer_reports.entry(from.clone()).or_insert(PeerReports { first: now, last: now });
+        if now - reports.last > PEER_RESET_WINDOWS * self.window {
+            reports.first = now;
         }
-        word.last = now;
+        reports.last = now;
     }
 
-    /// What to tell peers: only own sight, and only while there is any. `pass_on` is a planted mistake: what was heard, too.
-    pub fn fact(&self, now: Micros, shard: u32, pass_on: bool) -> Option<Fact> {
-        let seen = self.seen && !self.has_long_been_healthy(now)
-            || pass_on && self.heard.values().any(|h| now - h.last <= self.window);
-        let Tally { served, bad, .. } = self.shown().unwrap_or_default();
+    /// The observation to report to peers: only this gateway's own, and only while it sees trouble.
+    /// `forward_reports` is an injected fault that includes peers' reports.
+    pub fn own_observation(&self, now: Micros, shard: u32, forward_reports: bool) -> Option<Fact> {
+        let seen = self.sees_trouble && !self.is_proven_healthy(now)
+            || forward_reports && self.peer_reports.values().any(|h| now - h.last <= self.window);
+        let SliceCounts { served, bad, .. } = self.trouble_counts().unwrap_or_default();
         (seen || bad > 0).then_some(Fact { shard, seen, served, bad })
     }
 
-    /// Ends as many slices as have passed and judges anew; true if the state or its step changed.
-    pub fn roll(&mut self, now: Micros, passed: usize) -> bool {
-        let few = self.sum(SLICES as usize);
-        if few.served >= HEALTHY && few.bad * 20 < few.served {
-            self.healthy.get_or_insert(now);
+    /// Ends as many slices as have passed and evaluates the state; returns true if the state or its step
+    /// changed.
+    pub fn end_slices(&mut self, now: Micros, passed: usize) -> bool {
+        let window_counts = self.sum(SLICES_PER_WINDOW as usize);
+        if window_counts.served >= MIN_SERVED_IF_HEALTHY && window_counts.bad * 20 < window_counts.served {
+            self.healthy_since.get_or_insert(now);
         } else {
-            self.healthy = None;
+            self.healthy_since = None;
         }
-        let changed = self.judge(now);
-        for _ in 0..passed.min(SLICES as usize) {
-            self.slices.push_back(Tally::default());
+        let changed = self.evaluate(now);
+        for _ in 0..passed.min(SLICES_PER_WINDOW as usize) {
+            self.slices.push_back(SliceCounts::default());
         }
-        while self.slices.len() > SLICES as usize {
+        while self.slices.len() > SLICES_PER_WINDOW as usize {
             self.slices.pop_front();
         }
-        self.heard.retain(|_, h| now - h.last <= REST * self.window);
+        self.peer_reports.retain(|_, h| now - h.last <= PEER_RESET_WINDOWS * self.window);
         changed
     }
 
-    /// What ended here, if that shows trouble.
-    fn shown(&self) -> Option<Tally> {
-        [QUARTER, SLICES as usize].into_iter().map(|n| self.sum(n)).find(|t| is_trouble(t.served, t.bad))
+    /// Counts of what ended here, if they show trouble.
+    fn trouble_counts(&self) -> Option<SliceCounts> {
+        [SLICES_PER_QUARTER, SLICES_PER_WINDOW as usize]
+            .into_iter()
+            .map(|n| self.sum(n))
+            .find(|t| shows_trouble(t.served, t.bad))
     }
 
-    fn has_long_been_healthy(&self, now: Micros) -> bool {
-        self.healthy.is_some_and(|since| now - since >= self.health)
+    fn is_proven_healthy(&self, now: Micros) -> bool {
+        self.healthy_since.is_some_and(|since| now - since >= self.health_period)
     }
 
-    /// Why it recovers, if it does.
-    fn trouble(&self, now: Micros) -> Option<&'static str> {
-        // Danger: a fact that never ends (a peer's, a view's, an own link that is cut one way) would hold the shard's repeats down
-        // for ever. Harm of going on: a shard that only we reach well gets the whole share, of what it serves to us.
-        if self.has_long_been_healthy(now) {
+    /// Why the shard recovers, if it does.
+    fn trouble_reason(&self, now: Micros) -> Option<&'static str> {
+        // A report of trouble that never ends (from a peer, a membership view, or a connection of our
+        // own that is cut in one direction) would reduce the retries of the shard forever. The cost of
+        // ignoring it: a shard that only this gateway reaches well gets the full share, of the requests
+        // that it serves to this gateway.
+        if self.is_proven_healthy(now) {
             return None;
         }
-        if self.seen {
+        if self.sees_trouble {
             return Some("a node of it is cold, silent or refuses");
         }
-        if self.shown().is_some() {
-            return Some("most of what ended here was refused or unserved");
+        if self.trouble_counts().is_some() {
+            return Some("most attempts from here were refused or unserved");
         }
-        let mut words = self.heard.values().filter(|h| now - h.last <= self.window);
-        match (words.next(), words.next()) {
+        let mut reporting_peers = self.peer_reports.values().filter(|h| now - h.last <= self.window);
+        match (reporting_peers.next(), reporting_peers.next()) {
             (Some(_), Some(_)) => Some("several peers see trouble"),
-            (Some(one), None) if now - one.first < ALONE * self.window => Some("a peer sees trouble"),
+            (Some(one), None) if now - one.first < SINGLE_PEER_WINDOWS * self.window => {
+                Some("a peer sees trouble")
+            }
             _ => None,
         }
     }
 
-    fn judge(&mut self, now: Micros) -> bool {
-        let (whole, quarter) = (self.sum(SLICES as usize), self.sum(QUARTER));
-        let trouble = self.trouble(now);
+    fn evaluate(&mut self, now: Micros) -> bool {
+        let (whole, quarter) = (self.sum(SLICES_PER_WINDOW as usize), self.sum(SLICES_PER_QUARTER));
+        let trouble = self.trouble_reason(now);
         let serves = quarter.served > 0 && quarter.bad * 10 <= quarter.served;
         match self.state {
             ShardState::Normal | ShardState::Strained if trouble.is_some() => {
                 self.enter(now, ShardState::Recovering, 0, trouble.unwrap_or_default())
             }
-            ShardState::Normal if whole.bad * 10 >= whole.served + whole.bad && whole.bad >= FEW => self
-                .enter(
+            ShardState::Normal
+                if whole.bad * 10 >= whole.served + whole.bad && whole.bad >= MIN_BAD_IN_QUARTER =>
+            {
+                self.enter(
                     now,
                     ShardState::Strained,
-                    STEPS,
-                    "a tenth of what ended here was refused or unserved",
-                ),
-            ShardState::Normal if whole.held > 0 => {
-                self.enter(now, ShardState::Strained, STEPS, "repeats are held back for want of rights")
+                    WIDENING_STEPS,
+                    "a tenth of the attempts from here were refused or unserved",
+                )
             }
+            ShardState::Normal if whole.rejected > 0 => self.enter(
+                now,
+                ShardState::Strained,
+                WIDENING_STEPS,
+                "retries are rejected for lack of tokens",
+            ),
             ShardState::Strained
                 if now - self.since >= self.window
-                    && whole.held == 0
+                    && whole.rejected == 0
                     && whole.served > 0
                     && whole.bad * 20 <= whole.served =>
             {
                 self.enter(
                     now,
                     ShardState::Normal,
-                    STEPS,
-                    "it has served for a window and nothing was held back",
+                    WIDENING_STEPS,
+                    "it has served for a window and no retry was rejected",
                 )
             }
             ShardState::Recovering if trouble.is_none() && serves && now - self.since >= self.window => self
@@ -252,8 +270,8 @@
                 self.enter(now, ShardState::Recovering, 0, trouble.unwrap_or_default())
             }
             ShardState::Widening if serves && now - self.since >= self.window / 2 => {
-                if self.step + 1 >= STEPS {
-                    self.enter(now, ShardState::Normal, STEPS, "it served at every step")
+                if self.step + 1 >= WIDENING_STEPS {
+                    self.enter(now, ShardState::Normal, WIDENING_STEPS, "it served at every step")
                 } else {
                     self.enter(now, ShardState::Widening, self.step + 1, "it served at the step before")
                 }
@@ -262,15 +280,16 @@
         }
     }
 
-    fn enter(&mut self, now: Micros, state: ShardState, step: u32, why: &'static str) -> bool {
-        (self.state, self.since, self.step, self.why) = (state, now, step, why);
+    fn enter(&mut self, now: Micros, state: ShardState, step: u32, reason: &'static str) -> bool {
+        (self.state, self.since, self.step, self.reason) = (state, now, step, reason);
         true
     }
 }
 
-/// What ended here shows trouble by itself: nothing of [`FEW`] in a quarter of a window was served, or three quarters of
-/// [`MANY`] in a whole one were bad. A node that refuses 3 of 10 at random is so taken for one in trouble about once in ten minutes at
-/// a gateway that sends it 30 in a window.
-fn is_trouble(served: u32, bad: u32) -> bool {
-    served == 0 && bad >= FEW || served + bad >= MANY && bad >= 3 * served
+/// Whether the counts show trouble by themselves: of at least [`MIN_BAD_IN_QUARTER`] that ended in a
+/// quarter of a window none was served, or three quarters of at least [`MIN_ENDED_IN_WINDOW`] in a whole
+/// window were bad. A node that refuses 3 of 10 at random is thus taken for one in trouble about once in
+/// ten minutes at a gateway that sends it 30 in a window.
+fn shows_trouble(served: u32, bad: u32) -> bool {
+    served == 0 && bad >= MIN_BAD_IN_QUARTER || served + bad >= MIN_ENDED_IN_WINDOW && bad >= 3 * served
 }
--- a/crates/repeats/tests/accounts.rs
+++ b/crates/repeats/tests/accounts.rs
@@ -1,15 +1,15 @@
-//! Accounts and loans under drawn schedules: what is used in any window never exceeds the parts, and what arrives late or twice
-//! adds nothing.
+//! Accounts and leases under random schedules: the uses in any window never exceed the base tokens and
+//! the earned ones, and late or duplicated messages add no tokens.
 
 use peer::{Incarnation, Life, Nonce, PeerName};
 use proptest::prelude::*;
 use repeats::account::Account;
-use repeats::lending::{Lending, Untaken};
+use repeats::leases::{GrantRejected, LeaseBook};
 use repeats::message::{Grant, Want};
-use repeats::{CapOptions, Micros, Plant, RIGHT};
+use repeats::{CapOptions, InjectedFault, Micros, RIGHT};
 
 const WINDOW: Micros = 64_000;
-const EVEN: u64 = 2;
+const BASE: u64 = 2;
 
 fn life(n: u64) -> Life {
     Life { incarnation: Incarnation(n), nonce: Nonce(n) }
@@ -19,129 +19,129 @@
     CapOptions { window: WINDOW, drift: 0.05, ..CapOptions::new("a".into(), 3, vec![0]) }
 }
 
-/// One gateway with a clock of its own.
-struct Side {
+/// A gateway with its own clock.
+struct Gateway {
     name: PeerName,
-    /// Its clock's rate in hundredths of the judge's.
+    /// The rate of its clock, in hundredths of the reference clock.
     rate: Micros,
     life: u64,
     account: Account,
-    lending: Lending,
+    leases: LeaseBook,
 }
 
-/// Notes on their way, the uses that were made, all in the judge's time.
+/// Messages in flight and the tokens used, all by the reference clock.
 struct Fleet {
     now: Micros,
-    sides: Vec<Side>,
+    gateways: Vec<Gateway>,
     wants: Vec<(usize, usize, Want)>,
     grants: Vec<(usize, usize, Grant)>,
     uses: Vec<Micros>,
     served: Vec<Micros>,
-    plant: Option<Plant>,
+    fault: Option<InjectedFault>,
 }
 
 impl Fleet {
-    fn new(rates: &[Micros], plant: Option<Plant>) -> Self {
-        let sides = rates.iter().enumerate().map(|(i, &rate)| Side {
+    fn new(rates: &[Micros], fault: Option<InjectedFault>) -> Self {
+        let gateways = rates.iter().enumerate().map(|(i, &rate)| Gateway {
             name: PeerName(format!("g{i}")),
             rate,
             life: 1,
-            account: Account::new(options().terms(), EVEN * RIGHT, 0),
-            lending: Lending::new(options().terms(), life(1), 3, plant),
+            account: Account::new(options().durations(), BASE * RIGHT, 0),
+            leases: LeaseBook::new(options().durations(), life(1), 3, fault),
         });
-        let sides = sides.collect();
+        let gateways = gateways.collect();
         let mut fleet = Fleet {
             now: 0,
-            sides,
+            gateways,
             wants: Vec::new(),
             grants: Vec::new(),
             uses: Vec::new(),
             served: Vec::new(),
-            plant,
+            fault,
         };
         fleet.now = 2 * WINDOW;
         fleet
     }
 
-    fn clock(&self, side: usize) -> Micros {
-        self.now * self.sides[side].rate / 100
+    fn clock(&self, gateway: usize) -> Micros {
+        self.now * self.gateways[gateway].rate / 100
     }
 
-    fn spend(&mut self, side: usize) {
-        let now = self.clock(side);
-        let account = &mut self.sides[side].account;
+    fn spend(&mut self, gateway: usize) {
+        let now = self.clock(gateway);
+        let account = &mut self.gateways[gateway].account;
         account.settle(now);
-        if account.left() >= RIGHT {
+        if account.available() >= RIGHT {
             account.spend(now, RIGHT);
             self.uses.push(self.now);
         }
     }
 
-    fn serve(&mut self, side: usize) {
-        let now = self.clock(side);
-        // A tenth of a right for each.
-        self.sides[side].account.earn(now, RIGHT / 10);
+    fn serve(&mut self, gateway: usize) {
+        let now = self.clock(gateway);
+        // A tenth of a token each.
+        self.gateways[gateway].account.earn(now, RIGHT / 10);
         self.served.push(self.now);
     }
 
-    fn ask(&mut self, side: usize, of: usize) {
-        let now = self.clock(side);
-        if side != of {
-            let name = self.sides[of].name.clone();
-            let want = self.sides[side].lending.ask(now, Some(0), 2 * RIGHT, 1.0, &[name]);
-            self.wants.push((side, of, want));
+    fn request_lease(&mut self, gateway: usize, lender: usize) {
+        let now = self.clock(gateway);
+        if gateway != lender {
+            let name = self.gateways[lender].name.clone();
+            let want = self.gateways[gateway].leases.create_request(now, Some(0), 2 * RIGHT, 1.0, &[name]);
+            self.wants.push((gateway, lender, want));
         }
     }
 
-    fn hear_want(&mut self, at: usize, keep: bool) {
+    fn deliver_request(&mut self, at: usize, duplicate: bool) {
         if self.wants.is_empty() {
             return;
         }
         let at = at % self.wants.len();
-        let (from, to, want) = if keep { self.wants[at].clone() } else { self.wants.remove(at) };
-        let (now, name) = (self.clock(to), self.sides[from].name.clone());
-        let side = &mut self.sides[to];
-        if side.lending.is_new(&name, &want) {
-            let grant = side.lending.give(now, &want, 2 * RIGHT, 0, false, &mut side.account);
+        let (from, to, want) = if duplicate { self.wants[at].clone() } else { self.wants.remove(at) };
+        let (now, name) = (self.clock(to), self.gateways[from].name.clone());
+        let gateway = &mut self.gateways[to];
+        if gateway.leases.is_new_request(&name, &want) {
+            let grant = gateway.leases.grant_lease(now, &want, 2 * RIGHT, 0, false, &mut gateway.account);
             self.grants.extend(grant.map(|g| (to, from, g)));
         }
     }
 
-    fn hear_grant(&mut self, at: usize, keep: bool) {
+    fn deliver_grant(&mut self, at: usize, duplicate: bool) {
         if self.grants.is_empty() {
             return;
         }
         let at = at % self.grants.len();
-        let (from, to, grant) = if keep { self.grants[at].clone() } else { self.grants.remove(at) };
-        let (now, name) = (self.clock(to), self.sides[from].name.clone());
-        let side = &mut self.sides[to];
-        let _ = side.lending.take(now, &name, &grant, &mut side.account);
+        let (from, to, grant) = if duplicate { self.grants[at].clone() } else { self.grants.remove(at) };
+        let (now, name) = (self.clock(to), self.gateways[from].name.clone());
+        let gateway = &mut self.gateways[to];
+        let _ = gateway.leases.accept_grant(now, &name, &grant, &mut gateway.account);
     }
 
-    fn restart(&mut self, side: usize) {
-        let now = self.clock(side);
-        let plant = self.plant;
-        let side = &mut self.sides[side];
-        side.life += 1;
-        side.account = match plant {
-            Some(Plant::NewLifeFull) => {
-                let mut account = Account::new(options().terms(), 0, now);
-                account.set_even(EVEN * RIGHT);
+    fn restart(&mut self, gateway: usize) {
+        let now = self.clock(gateway);
+        let fault = self.fault;
+        let gateway = &mut self.gateways[gateway];
+        gateway.life += 1;
+        gateway.account = match fault {
+            Some(InjectedFault::NewLifeStartsFull) => {
+                let mut account = Account::new(options().durations(), 0, now);
+                account.set_base(BASE * RIGHT);
                 account
             }
-            _ => Account::new(options().terms(), EVEN * RIGHT, now),
+            _ => Account::new(options().durations(), BASE * RIGHT, now),
         };
-        side.lending = Lending::new(options().terms(), life(side.life), 3, plant);
+        gateway.leases = LeaseBook::new(options().durations(), life(gateway.life), 3, fault);
     }
 
-    /// The most uses in a window beyond what even parts and earned rights allow; nought if none.
+    /// The most uses in a window beyond what base tokens and earned tokens allow; zero if none.
     fn excess(&self) -> i64 {
         let mut worst = 0;
         for (i, &from) in self.uses.iter().enumerate() {
             let uses = self.uses[i..].iter().take_while(|&&u| u < from + WINDOW).count() as i64;
             let served =
                 self.served.iter().filter(|&&s| s >= from - WINDOW / 2 && s < from + WINDOW).count() as i64;
-            let cap = (EVEN as i64) * self.sides.len() as i64 + served / 10;
+            let cap = (BASE as i64) * self.gateways.len() as i64 + served / 10;
             worst = worst.max(uses - cap);
         }
         worst
@@ -149,14 +149,14 @@
 
     fn step(&mut self, what: u8, a: usize, b: usize, time: Micros) {
         self.now += time;
-        let (a, b) = (a % self.sides.len(), b % self.sides.len());
+        let (a, b) = (a % self.gateways.len(), b % self.gateways.len());
         match what {
             0..=2 => self.spend(a),
-            3 => self.ask(a, b),
-            4 => self.hear_want(a + 7 * b, false),
-            5 => self.hear_want(a + 7 * b, true),
-            6 => self.hear_grant(a + 7 * b, false),
-            7 => self.hear_grant(a + 7 * b, true),
+            3 => self.request_lease(a, b),
+            4 => self.deliver_request(a + 7 * b, false),
+            5 => self.deliver_request(a + 7 * b, true),
+            6 => self.deliver_grant(a + 7 * b, false),
+            7 => self.deliver_grant(a + 7 * b, true),
             8 => (0..4).for_each(|_| self.serve(a)),
             9 => self.restart(a),
             _ => (0..4).for_each(|_| self.spend(a)),
@@ -174,8 +174,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
     #[test]
-    fn uses_in_any_window_are_within_the_parts_and_what_was_earned(steps in steps(120)) {
-        // One clock fast by the whole drift, one slow by it.
+    fn uses_in_any_window_stay_within_base_and_earned_tokens(steps in steps(120)) {
+        // One clock is fast by the full drift, one slow by it.
         let mut fleet = Fleet::new(&[100, 105, 95], None);
         for (what, a, b, time) in steps {
             fleet.step(what, a, b, time);
@@ -185,51 +185,52 @@
 }
 
 #[test]
-fn all_even_parts_and_no_more_are_used_when_all_need_them() {
+fn all_base_tokens_can_be_used_and_no_more() {
     let mut fleet = Fleet::new(&[100, 105, 95], None);
     for _ in 0..400 {
         fleet.now += WINDOW / 100;
-        (0..3).for_each(|side| fleet.spend(side));
+        (0..3).for_each(|gateway| fleet.spend(gateway));
     }
     assert_eq!(fleet.excess(), 0);
     let last = fleet.uses.iter().filter(|&&u| u > fleet.now - 2 * WINDOW).count();
     assert!(last >= 9, "{last} of 12 in two windows");
 }
 
-/// A loan from the second to the first; what was used in the worst window beyond the parts.
-fn loan(plant: Option<Plant>) -> i64 {
-    let mut fleet = Fleet::new(&[100, 100], plant);
-    fleet.ask(0, 1);
-    fleet.hear_want(0, false);
-    if plant == Some(Plant::GrantUsedLate) {
+/// A lease from the second gateway to the first; returns the uses beyond the limit in the worst window.
+fn uses_beyond_limit(fault: Option<InjectedFault>) -> i64 {
+    let mut fleet = Fleet::new(&[100, 100], fault);
+    fleet.request_lease(0, 1);
+    fleet.deliver_request(0, false);
+    if fault == Some(InjectedFault::LeaseCountedFromArrival) {
         fleet.now += WINDOW + WINDOW / 4;
     }
-    fleet.hear_grant(0, true);
-    fleet.hear_grant(0, false);
+    fleet.deliver_grant(0, true);
+    fleet.deliver_grant(0, false);
     for _ in 0..10 {
-        (0..2).for_each(|side| fleet.spend(side));
+        (0..2).for_each(|gateway| fleet.spend(gateway));
     }
-    if plant == Some(Plant::NewLifeFull) {
+    if fault == Some(InjectedFault::NewLifeStartsFull) {
         fleet.restart(0);
         (0..10).for_each(|_| fleet.spend(0));
     }
     fleet.excess()
 }
 
-/// A loan used at the end of its life, and all that the giver has as soon as it is back, by clocks that agree.
-fn loan_used_last(plant: Option<Plant>) -> i64 {
-    let mut fleet = Fleet::new(&[100, 100], plant);
-    let terms = CapOptions { drift: 0.0, ..options() }.terms();
-    for side in &mut fleet.sides {
-        side.account = Account::new(terms, EVEN * RIGHT, 0);
-        side.lending = Lending::new(terms, life(1), 3, plant);
+/// A lease used at the end of its term, and the lender's base tokens used as soon as they return, with
+/// clocks that agree.
+fn uses_beyond_limit_at_lease_end(fault: Option<InjectedFault>) -> i64 {
+    let mut fleet = Fleet::new(&[100, 100], fault);
+    let durations = CapOptions { drift: 0.0, ..options() }.durations();
+    for gateway in &mut fleet.gateways {
+        gateway.account = Account::new(durations, BASE * RIGHT, 0);
+        gateway.leases = LeaseBook::new(durations, life(1), 3, fault);
     }
-    fleet.ask(0, 1);
-    fleet.hear_want(0, false);
-    fleet.hear_grant(0, false);
+    fleet.request_lease(0, 1);
+    fleet.deliver_request(0, false);
+    fleet.deliver_grant(0, false);
     fleet.now += WINDOW / 8 - 1_000;
     (0..5).for_each(|_| fleet.spend(0));
-    // Each unit of time, so that nothing is lost to a grid.
+    // In small steps, so that no time is lost to the grid.
     for _ in 0..WINDOW / 50 {
         fleet.now += 50;
         fleet.spend(1);
@@ -238,58 +239,66 @@
 }
 
 #[test]
-fn a_loan_that_is_back_at_the_giver_before_its_last_use_is_a_window_old_is_caught() {
-    assert_eq!(loan_used_last(None), 0);
-    assert!(loan_used_last(Some(Plant::LoanBackEarly)) > 0);
+fn a_lease_that_returns_too_early_is_detected() {
+    assert_eq!(uses_beyond_limit_at_lease_end(None), 0);
+    assert!(uses_beyond_limit_at_lease_end(Some(InjectedFault::LeaseReturnsEarly)) > 0);
 }
 
 #[test]
-fn a_loan_adds_nothing_to_the_sum() {
-    assert_eq!(loan(None), 0);
+fn a_lease_adds_no_tokens() {
+    assert_eq!(uses_beyond_limit(None), 0);
 }
 
 #[test]
-fn a_grant_taken_twice_is_caught() {
-    assert!(loan(Some(Plant::GrantTakenTwice)) > 0);
+fn a_grant_accepted_twice_is_detected() {
+    assert!(uses_beyond_limit(Some(InjectedFault::GrantAcceptedTwice)) > 0);
 }
 
 #[test]
-fn lent_before_taken_off_is_caught() {
-    assert!(loan(Some(Plant::LentBeforeTaken)) > 0);
+fn a_lease_not_debited_is_detected() {
+    assert!(uses_beyond_limit(Some(InjectedFault::LeaseNotDebited)) > 0);
 }
 
 #[test]
-fn a_grant_used_late_is_caught() {
-    assert!(loan(Some(Plant::GrantUsedLate)) > 0);
+fn a_lease_counted_from_arrival_is_detected() {
+    assert!(uses_beyond_limit(Some(InjectedFault::LeaseCountedFromArrival)) > 0);
 }
 
 #[test]
-fn a_new_life_that_starts_full_is_caught() {
-    assert!(loan(Some(Plant::NewLifeFull)) > 0);
+fn a_new_life_that_starts_full_is_detected() {
+    assert!(uses_beyond_limit(Some(InjectedFault::NewLifeStartsFull)) > 0);
 }
 
 #[test]
-fn a_grant_is_taken_once_in_its_time_by_the_life_that_asked() {
+fn a_grant_is_accepted_once_in_time_by_the_requesting_life() {
     let mut fleet = Fleet::new(&[100, 100], None);
-    fleet.ask(0, 1);
-    fleet.hear_want(0, false);
-    let (name, grant) = (fleet.sides[1].name.clone(), fleet.grants[0].2.clone());
+    fleet.request_lease(0, 1);
+    fleet.deliver_request(0, false);
+    let (name, grant) = (fleet.gateways[1].name.clone(), fleet.grants[0].2.clone());
     let now = fleet.now;
-    let take = |side: &mut Side, now| side.lending.take(now, &name, &grant, &mut side.account);
-    let mut late = Lending::new(options().terms(), life(1), 3, None);
-    late.ask(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
-    let mut account = Account::new(options().terms(), 0, 0);
-    assert_eq!(late.take(now + WINDOW / 8, &name, &grant, &mut account), Err(Untaken::Late));
-    assert_eq!(take(&mut fleet.sides[0], now), Ok(2 * RIGHT));
-    assert_eq!(take(&mut fleet.sides[0], now), Err(Untaken::Unasked));
-    let lie = Grant { parts: vec![(u64::MAX, Micros::MAX); 3], ..grant.clone() };
-    let mut asker = Lending::new(options().terms(), life(1), 3, None);
-    asker.ask(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
-    let lie = Grant { number: 1, ..lie };
-    assert_eq!(asker.take(now, &name, &lie, &mut account), Ok(RIGHT), "no more than was asked for");
+    let accept =
+        |gateway: &mut Gateway, now| gateway.leases.accept_grant(now, &name, &grant, &mut gateway.account);
+    let mut late = LeaseBook::new(options().durations(), life(1), 3, None);
+    late.create_request(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
+    let mut account = Account::new(options().durations(), 0, 0);
+    assert_eq!(late.accept_grant(now + WINDOW / 8, &name, &grant, &mut account), Err(GrantRejected::Late));
+    assert_eq!(accept(&mut fleet.gateways[0], now), Ok(2 * RIGHT));
+    assert_eq!(accept(&mut fleet.gateways[0], now), Err(GrantRejected::NotRequested));
+    let overstated = Grant { parts: vec![(u64::MAX, Micros::MAX); 3], ..grant.clone() };
+    let mut asker = LeaseBook::new(options().durations(), life(1), 3, None);
+    asker.create_request(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
+    let overstated = Grant { number: 1, ..overstated };
+    assert_eq!(
+        asker.accept_grant(now, &name, &overstated, &mut account),
+        Ok(RIGHT),
+        "no more than was requested"
+    );
     fleet.restart(0);
-    assert_eq!(take(&mut fleet.sides[0], now), Err(Untaken::OtherLife));
+    assert_eq!(accept(&mut fleet.gateways[0], now), Err(GrantRejected::OtherLife));
     let other = PeerName::from("g9");
     let grant = Grant { life: life(2), ..grant.clone() };
-    assert_eq!(fleet.sides[0].lending.take(now, &other, &grant, &mut account), Err(Untaken::Late));
+    assert_eq!(
+        fleet.gateways[0].leases.accept_grant(now, &other, &grant, &mut account),
+        Err(GrantRejected::Late)
+    );
 }
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -1,12 +1,12 @@
-//! Several caps and the notes between them, without nodes: what is allowed, how fast it is lent, how often it is told, and what
-//! a shard's state does.
+//! Several caps that exchange messages, without nodes: allowances, how fast tokens are leased, how often
+//! the scheduler is notified, and the states of a shard.
 
 use std::collections::BTreeMap;
 
 use peer::{Incarnation, Life, Nonce, PeerName};
 use repeats::message::{Fact, Word};
-use repeats::shard::{ALONE, REST};
-use repeats::{Cap, CapOptions, Input, Micros, Output, Plant, ShardState, Trial};
+use repeats::shard::{PEER_RESET_WINDOWS, SINGLE_PEER_WINDOWS};
+use repeats::{Cap, CapOptions, InjectedFault, Input, Micros, Output, Overrides, ShardState};
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 5_000;
@@ -23,95 +23,96 @@
     CapOptions { warming: 2 * SECOND, ..CapOptions::new(name(i), members, vec![7, 8]) }
 }
 
-/// Gateways whose notes take 2 ms, unless they are cut off.
-struct Bus {
+/// Gateways whose messages take 2 ms, unless a gateway is partitioned.
+struct Network {
     now: Micros,
     caps: Vec<Cap>,
     allowed: Vec<BTreeMap<u32, u32>>,
-    notes: Vec<(Micros, usize, usize, Vec<u8>)>,
-    cut: Vec<usize>,
-    allows: Vec<u64>,
-    entered: Vec<(Micros, usize, ShardState, &'static str)>,
-    turned: Vec<(usize, PeerName, &'static str)>,
-    advice: Vec<(usize, Micros)>,
+    messages: Vec<(Micros, usize, usize, Vec<u8>)>,
+    partitioned: Vec<usize>,
+    allowance_counts: Vec<u64>,
+    state_changes: Vec<(Micros, usize, ShardState, &'static str)>,
+    rejected_messages: Vec<(usize, PeerName, &'static str)>,
+    retry_delays: Vec<(usize, Micros)>,
 }
 
-impl Bus {
-    fn new(members: usize, plant: Option<Plant>) -> Self {
+impl Network {
+    fn new(members: usize, fault: Option<InjectedFault>) -> Self {
         let cap = |i| {
-            let trial = Trial { plant, ..Trial::default() };
-            Cap::tried(options(i, members), trial, life(1), 0, 1)
+            let overrides = Overrides { fault, ..Overrides::default() };
+            Cap::with_overrides(options(i, members), overrides, life(1), 0, 1)
         };
-        let mut bus = Bus {
+        let mut network = Network {
             now: 0,
             caps: (0..members).map(cap).collect(),
             allowed: vec![BTreeMap::new(); members],
-            notes: Vec::new(),
-            cut: Vec::new(),
-            allows: vec![0; members],
-            entered: Vec::new(),
-            turned: Vec::new(),
-            advice: Vec::new(),
+            messages: Vec::new(),
+            partitioned: Vec::new(),
+            allowance_counts: vec![0; members],
+            state_changes: Vec::new(),
+            rejected_messages: Vec::new(),
+            retry_delays: Vec::new(),
         };
         for i in 0..members {
-            bus.hand(i, Input::Peers((0..members).map(name).collect()));
+            network.handle_input(i, Input::Peers((0..members).map(name).collect()));
         }
-        bus
+        network
     }
 
-    fn hand(&mut self, i: usize, input: Input) {
+    fn handle_input(&mut self, i: usize, input: Input) {
         let mut out = Vec::new();
         self.caps[i].handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Send { to, body } => {
                     let to = (0..self.caps.len()).find(|&j| name(j) == to).expect("a member");
-                    if !self.cut.contains(&i) && !self.cut.contains(&to) {
-                        self.notes.push((self.now + 2_000, i, to, body));
+                    if !self.partitioned.contains(&i) && !self.partitioned.contains(&to) {
+                        self.messages.push((self.now + 2_000, i, to, body));
                     }
                 }
                 Output::Allow(a) => {
                     self.allowed[i].insert(a.shard, a.further);
-                    self.allows[i] += 1;
-                    self.advice.push((i, a.come_back));
+                    self.allowance_counts[i] += 1;
+                    self.retry_delays.push((i, a.come_back));
                 }
-                Output::Entered { state, why, .. } => self.entered.push((self.now, i, state, why)),
-                Output::TurnedAway { from, why } => self.turned.push((i, from, why)),
+                Output::Entered { state, why, .. } => self.state_changes.push((self.now, i, state, why)),
+                Output::TurnedAway { from, why } => self.rejected_messages.push((i, from, why)),
             }
         }
     }
 
-    /// As many further sends as it is allowed, up to `most`; the rest is held back.
-    fn need(&mut self, i: usize, shard: u32, most: u32) -> u32 {
+    /// Sends as many retries as are allowed, up to `most`; the remainder is rejected. Returns the number
+    /// sent.
+    fn send_retries(&mut self, i: usize, shard: u32, most: u32) -> u32 {
         let sent = self.allowed[i].get(&shard).copied().unwrap_or(0).min(most);
         for n in 0..most {
             if n < sent {
                 *self.allowed[i].entry(shard).or_default() -= 1;
-                self.hand(i, Input::Sent { shard, further: true });
+                self.handle_input(i, Input::Sent { shard, further: true });
             } else {
-                self.hand(i, Input::Wanted { shard, worth: 1.0, left: SECOND });
+                self.handle_input(i, Input::Wanted { shard, worth: 1.0, left: SECOND });
             }
         }
         sent
     }
 
-    fn ends(&mut self, i: usize, served: bool, times: usize) {
+    fn end_attempts(&mut self, i: usize, served: bool, times: usize) {
         for _ in 0..times {
-            self.hand(i, Input::Ended { shard: 7, served, refused: !served });
+            self.handle_input(i, Input::Ended { shard: 7, served, refused: !served });
         }
     }
 
-    fn pass(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            let due: Vec<_> = self.notes.extract_if(.., |n| n.0 <= self.now).collect();
+            let due: Vec<_> = self.messages.extract_if(.., |n| n.0 <= self.now).collect();
             for (_, from, to, body) in due {
-                self.hand(to, Input::Heard { from: name(from), life: life(1), body });
+                self.handle_input(to, Input::Heard { from: name(from), life: life(1), body });
             }
             for i in 0..self.caps.len() {
                 if self.caps[i].next_due() <= self.now {
-                    self.hand(i, Input::Tick);
+                    self.handle_input(i, Input::Tick);
                 }
             }
         }
@@ -119,34 +120,34 @@
 }
 
 #[test]
-fn every_shard_is_named_at_once_and_a_new_life_is_empty_for_a_window() {
-    let mut bus = Bus::new(3, None);
-    assert_eq!(bus.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
-    bus.pass(SECOND);
-    assert_eq!(bus.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
-    bus.pass(SECOND / 2);
-    assert_eq!(bus.allowed[0], BTreeMap::from([(7, 4), (8, 4)]));
-    bus.hand(0, Input::Renewed(life(2)));
-    assert_eq!(bus.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
+fn every_shard_is_reported_at_once_and_a_new_life_is_empty_for_a_window() {
+    let mut network = Network::new(3, None);
+    assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
+    network.advance(SECOND);
+    assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
+    network.advance(SECOND / 2);
+    assert_eq!(network.allowed[0], BTreeMap::from([(7, 4), (8, 4)]));
+    network.handle_input(0, Input::Renewed(life(2)));
+    assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
 }
 
 #[test]
 fn half_of_the_gateways_use_four_fifths_of_the_cap_within_a_second() {
     for members in [4, 12, 40] {
-        let mut bus = Bus::new(members, None);
-        bus.pass(2 * SECOND);
+        let mut network = Network::new(members, None);
+        network.advance(2 * SECOND);
         let (mut sent, mut served) = (0, 0);
         for step in 0..(SECOND / 10_000) {
             for i in 0..members {
-                // All serve 200 a second: a tenth of that is earned.
-                bus.ends(i, true, 2);
+                // Each gateway serves 200 requests a second, a tenth of which is earned.
+                network.end_attempts(i, true, 2);
                 served += 2;
                 if i % 2 == 0 {
                     let most = if step % 2 == 0 { 3 } else { 0 };
-                    sent += bus.need(i, 7, most);
+                    sent += network.send_retries(i, 7, most);
                 }
             }
-            bus.pass(10_000);
+            network.advance(10_000);
         }
         let cap = options(0, members).free + 0.1 * f64::from(served);
         println!("{members} members: {sent} of {cap}");
@@ -156,50 +157,51 @@
 }
 
 #[test]
-fn who_is_cut_off_has_its_even_part_in_every_window() {
-    let mut bus = Bus::new(4, None);
-    bus.cut = vec![1];
-    bus.pass(2 * SECOND);
+fn a_partitioned_gateway_has_its_base_tokens_in_every_window() {
+    let mut network = Network::new(4, None);
+    network.partitioned = vec![1];
+    network.advance(2 * SECOND);
     for _ in 0..5 {
         let mut sent = 0;
         for _ in 0..120 {
-            sent += bus.need(1, 7, 1);
-            bus.pass(10_000);
+            sent += network.send_retries(1, 7, 1);
+            network.advance(10_000);
         }
         assert!(sent >= 4, "{sent}");
     }
 }
 
 #[test]
-fn allowances_are_bounded_in_rate_whatever_happens() {
-    let mut bus = Bus::new(12, None);
-    bus.pass(2 * SECOND);
-    bus.allows = vec![0; 12];
+fn the_rate_of_allowances_is_bounded() {
+    let mut network = Network::new(12, None);
+    network.advance(2 * SECOND);
+    network.allowance_counts = vec![0; 12];
     for _ in 0..200 {
         for i in 0..12 {
-            bus.ends(i, true, 5);
-            bus.need(i, 7, 3);
+            network.end_attempts(i, true, 5);
+            network.send_retries(i, 7, 3);
         }
-        bus.pass(5_000);
+        network.advance(5_000);
     }
-    // In a slice: at its end, and once a step for more; two shards. What is lent lowers it once for each want heard.
-    let most = bus.allows.iter().max().copied().unwrap_or(0);
+    // In a slice: once at its end, and once for each step with an increase; two shards. A lease lowers
+    // the allowance once for each request received.
+    let most = network.allowance_counts.iter().max().copied().unwrap_or(0);
     assert!(most <= 2 * 16 * 8, "{most} in a window");
     assert!(most >= 16, "{most}: it never changed");
 }
 
 #[test]
-fn advice_differs_between_gateways_and_from_slice_to_slice() {
-    let mut bus = Bus::new(8, None);
-    bus.hand(0, Input::Tick);
-    bus.advice.clear();
+fn retry_delays_differ_between_gateways_and_slices() {
+    let mut network = Network::new(8, None);
+    network.handle_input(0, Input::Tick);
+    network.retry_delays.clear();
     for _ in 0..100 {
         (0..8).for_each(|i| {
-            bus.need(i, 7, 5);
+            network.send_retries(i, 7, 5);
         });
-        bus.pass(10_000);
+        network.advance(10_000);
     }
-    let mut all: Vec<Micros> = bus.advice.iter().map(|a| a.1).filter(|&a| a != SECOND).collect();
+    let mut all: Vec<Micros> = network.retry_delays.iter().map(|a| a.1).filter(|&a| a != SECOND).collect();
     let count = all.len();
     all.sort_unstable();
     all.dedup();
@@ -209,24 +211,24 @@
 }
 
 #[test]
-fn a_shard_recovers_and_is_widened_as_served_answers_show_it() {
-    let mut bus = Bus::new(3, None);
-    bus.pass(2 * SECOND);
-    bus.hand(0, Input::Recovers { shard: 7, on: true });
-    assert_eq!(bus.caps[0].state(7), ShardState::Recovering);
-    bus.pass(SECOND / 4);
-    assert_eq!(bus.caps[1].state(7), ShardState::Recovering, "by a peer's fact");
-    assert_eq!(bus.caps[1].state(8), ShardState::Normal);
-    assert_eq!(bus.allowed[0][&7], 1, "a quarter of four");
-    bus.hand(0, Input::Recovers { shard: 7, on: false });
-    bus.pass(3 * SECOND);
-    assert_eq!(bus.caps[0].state(7), ShardState::Recovering, "nothing was served yet");
+fn a_recovering_shard_widens_as_requests_are_served() {
+    let mut network = Network::new(3, None);
+    network.advance(2 * SECOND);
+    network.handle_input(0, Input::Recovers { shard: 7, on: true });
+    assert_eq!(network.caps[0].state(7), ShardState::Recovering);
+    network.advance(SECOND / 4);
+    assert_eq!(network.caps[1].state(7), ShardState::Recovering, "as reported by a peer");
+    assert_eq!(network.caps[1].state(8), ShardState::Normal);
+    assert_eq!(network.allowed[0][&7], 1, "a quarter of four");
+    network.handle_input(0, Input::Recovers { shard: 7, on: false });
+    network.advance(3 * SECOND);
+    assert_eq!(network.caps[0].state(7), ShardState::Recovering, "nothing was served yet");
     for _ in 0..60 {
-        bus.ends(0, true, 5);
-        bus.pass(50_000);
+        network.end_attempts(0, true, 5);
+        network.advance(50_000);
     }
-    assert_eq!(bus.caps[0].state(7), ShardState::Normal);
-    let states: Vec<_> = bus.entered.iter().filter(|e| e.1 == 0).map(|e| e.2).collect();
+    assert_eq!(network.caps[0].state(7), ShardState::Normal);
+    let states: Vec<_> = network.state_changes.iter().filter(|e| e.1 == 0).map(|e| e.2).collect();
     let widening = [ShardState::Widening; 3];
     assert_eq!(states[0], ShardState::Recovering);
     assert_eq!(states[1..4], widening);
@@ -234,17 +236,17 @@
 }
 
 #[test]
-fn refused_and_unserved_answers_are_own_sight_and_do_not_flap() {
-    let mut bus = Bus::new(3, None);
-    bus.pass(2 * SECOND);
+fn refused_and_unserved_attempts_cause_recovery_without_flapping() {
+    let mut network = Network::new(3, None);
+    network.advance(2 * SECOND);
     for _ in 0..100 {
-        bus.ends(0, false, 4);
-        bus.ends(0, true, 1);
-        bus.pass(20_000);
+        network.end_attempts(0, false, 4);
+        network.end_attempts(0, true, 1);
+        network.advance(20_000);
     }
-    assert_eq!(bus.caps[0].state(7), ShardState::Recovering);
-    let changes = bus.entered.iter().filter(|e| e.1 == 0).count();
-    assert!(changes <= 2, "{:?}", bus.entered);
+    assert_eq!(network.caps[0].state(7), ShardState::Recovering);
+    let changes = network.state_changes.iter().filter(|e| e.1 == 0).count();
+    assert!(changes <= 2, "{:?}", network.state_changes);
 }
 
 fn fact(shard: u32) -> Vec<u8> {
@@ -252,95 +254,96 @@
     peer::wire::encode(&Word { facts: vec![fact], ..Word::default() })
 }
 
-/// Part of a minute in which gateway 1 held the shard in recovering, as gateway 0 said so all the time; both serve well.
-fn held(plant: Option<Plant>) -> f64 {
-    let mut bus = Bus::new(4, plant);
-    bus.pass(2 * SECOND);
-    let (mut held, steps) = (0, 600);
+/// The part of a minute in which gateway 1 kept the shard in recovering while gateway 0 reported trouble
+/// all the time and all others were served well.
+fn recovering_part(fault: Option<InjectedFault>) -> f64 {
+    let mut network = Network::new(4, fault);
+    network.advance(2 * SECOND);
+    let (mut recovering_part, steps) = (0, 600);
     for _ in 0..steps {
         for i in 1..4 {
-            bus.hand(i, Input::Heard { from: name(0), life: life(1), body: fact(7) });
-            // Few enough that it isn't left alone for its health.
-            bus.ends(i, true, 1);
+            network.handle_input(i, Input::Heard { from: name(0), life: life(1), body: fact(7) });
+            // Few enough that the shard is not considered proven healthy, which would end the recovery.
+            network.end_attempts(i, true, 1);
         }
-        bus.pass(100_000);
-        held += usize::from(bus.caps[1].state(7) == ShardState::Recovering);
+        network.advance(100_000);
+        recovering_part += usize::from(network.caps[1].state(7) == ShardState::Recovering);
     }
-    held as f64 / f64::from(steps)
+    recovering_part as f64 / f64::from(steps)
 }
 
 #[test]
-fn no_gateway_alone_holds_the_fleet_in_recovering() {
-    let part = held(None);
+fn no_single_gateway_keeps_the_fleet_in_recovering() {
+    let part = recovering_part(None);
     assert!(part > 0.03, "it is believed for a while: {part}");
-    assert!(part < (ALONE + 2) as f64 / 60.0, "{part}");
-    const { assert!(REST > ALONE) }
+    assert!(part < (SINGLE_PEER_WINDOWS + 2) as f64 / 60.0, "{part}");
+    const { assert!(PEER_RESET_WINDOWS > SINGLE_PEER_WINDOWS) }
 }
 
 #[test]
-fn a_word_that_goes_round_is_caught() {
-    let part = held(Some(Plant::WordPassedOn));
+fn circulating_peer_reports_are_detected() {
+    let part = recovering_part(Some(InjectedFault::PeerReportsForwarded));
     assert!(part > 0.5, "{part}");
 }
 
 #[test]
-fn a_shard_that_serves_well_here_is_left_alone_whatever_is_said_of_it() {
-    let mut bus = Bus::new(3, None);
-    bus.pass(2 * SECOND);
-    bus.hand(0, Input::Recovers { shard: 7, on: true });
+fn reports_about_a_shard_that_serves_well_here_are_ignored() {
+    let mut network = Network::new(3, None);
+    network.advance(2 * SECOND);
+    network.handle_input(0, Input::Recovers { shard: 7, on: true });
     for _ in 0..120 {
-        bus.ends(0, true, 10);
-        bus.pass(100_000);
+        network.end_attempts(0, true, 10);
+        network.advance(100_000);
     }
-    assert_eq!(bus.caps[0].state(7), ShardState::Normal);
+    assert_eq!(network.caps[0].state(7), ShardState::Normal);
 }
 
 #[test]
-fn what_ended_unserved_elsewhere_is_known_here() {
-    for (plant, known) in [(None, true), (Some(Plant::SketchForgets), false)] {
-        let mut bus = Bus::new(3, plant);
-        bus.hand(0, Input::Unserved { key: 99 });
-        assert!(bus.caps[0].is_repeat(bus.now, 99));
-        bus.pass(SECOND / 4);
-        assert!(bus.caps[1].is_repeat(bus.now, 99) && !bus.caps[1].is_repeat(bus.now, 98));
-        bus.pass(3 * SECOND / 4 - STEP);
-        let at_all = (0..3).all(|i| bus.caps[i].is_repeat(bus.now, 99));
-        assert_eq!(at_all, known, "{plant:?}");
-        // A client that was told to come back as late as is ever advised is still known.
+fn requests_unserved_at_a_peer_are_recognized() {
+    for (fault, known) in [(None, true), (Some(InjectedFault::SketchForgetsEarly), false)] {
+        let mut network = Network::new(3, fault);
+        network.handle_input(0, Input::Unserved { key: 99 });
+        assert!(network.caps[0].is_repeat(network.now, 99));
+        network.advance(SECOND / 4);
+        assert!(network.caps[1].is_repeat(network.now, 99) && !network.caps[1].is_repeat(network.now, 98));
+        network.advance(3 * SECOND / 4 - STEP);
+        let at_all = (0..3).all(|i| network.caps[i].is_repeat(network.now, 99));
+        assert_eq!(at_all, known, "{fault:?}");
+        // A client that returns after the longest retry delay is still recognized.
         let options = options(0, 3);
-        bus.now += options.most_advice;
-        assert_eq!((0..3).all(|i| bus.caps[i].is_repeat(bus.now, 99)), known, "{plant:?}");
-        bus.now += 2 * options.most_advice;
-        assert!((0..3).all(|i| !bus.caps[i].is_repeat(bus.now, 99)));
+        network.now += options.most_advice;
+        assert_eq!((0..3).all(|i| network.caps[i].is_repeat(network.now, 99)), known, "{fault:?}");
+        network.now += 2 * options.most_advice;
+        assert!((0..3).all(|i| !network.caps[i].is_repeat(network.now, 99)));
     }
 }
 
 #[test]
-fn a_note_that_cannot_be_read_is_named_once_and_harms_nothing() {
-    let mut bus = Bus::new(3, None);
-    bus.pass(2 * SECOND);
-    let before = bus.allowed.clone();
+fn an_invalid_message_is_reported_once_and_changes_nothing() {
+    let mut network = Network::new(3, None);
+    network.advance(2 * SECOND);
+    let before = network.allowed.clone();
     for _ in 0..5 {
         for body in [vec![1, 2, 3], vec![0; 20_000], fact(99)] {
-            bus.hand(0, Input::Heard { from: name(1), life: life(1), body });
+            network.handle_input(0, Input::Heard { from: name(1), life: life(1), body });
         }
     }
-    assert_eq!(bus.turned.len(), 3, "{:?}", bus.turned);
-    assert_eq!(bus.allowed, before);
+    assert_eq!(network.rejected_messages.len(), 3, "{:?}", network.rejected_messages);
+    assert_eq!(network.allowed, before);
 }
 
 #[test]
-fn a_send_without_a_right_is_made_good_first() {
-    let mut bus = Bus::new(3, None);
-    bus.pass(2 * SECOND);
+fn a_retry_without_a_token_is_recovered_first() {
+    let mut network = Network::new(3, None);
+    network.advance(2 * SECOND);
     for _ in 0..7 {
-        bus.hand(0, Input::Sent { shard: 7, further: true });
+        network.handle_input(0, Input::Sent { shard: 7, further: true });
     }
-    bus.allowed[0].insert(7, 0);
-    bus.ends(0, true, 9);
-    assert_eq!(bus.allowed[0][&7], 0);
-    let look = bus.caps[0].look(bus.now);
+    network.allowed[0].insert(7, 0);
+    network.end_attempts(0, true, 9);
+    assert_eq!(network.allowed[0][&7], 0);
+    let look = network.caps[0].look(network.now);
     assert_eq!((look[0].shard, look[0].spent), (Some(7), 7.0));
-    bus.pass(3 * SECOND / 2);
-    assert_eq!(bus.allowed[0][&7], 4, "a window later it has its part again");
+    network.advance(3 * SECOND / 2);
+    assert_eq!(network.allowed[0][&7], 4, "a window later it has its base tokens again");
 }
--- a/crates/repeats/tests/model.rs
+++ b/crates/repeats/tests/model.rs
@@ -1,15 +1,15 @@
-//! The package's own accounts and loans in all orders of a few steps: two gateways, notes that are lost and doubled, a restart, time
-//! in steps. Property: in no window are there more uses than parts.
+//! Model check of accounts and leases over all orders of a few actions: two gateways, messages that are
+//! lost and duplicated, a restart, time in steps. Property: no window has more uses than base tokens.
 
 use peer::{Incarnation, Life, Nonce, PeerName};
 use repeats::account::Account;
-use repeats::lending::Lending;
+use repeats::leases::LeaseBook;
 use repeats::message::{Grant, Want};
-use repeats::{CapOptions, Micros, Plant, RIGHT};
+use repeats::{CapOptions, InjectedFault, Micros, RIGHT};
 use stateright::{Checker, Model, Property};
 
 const WINDOW: Micros = 64_000;
-const EVEN: u64 = RIGHT;
+const BASE: u64 = RIGHT;
 
 fn life(n: u64) -> Life {
     Life { incarnation: Incarnation(n), nonce: Nonce(n) }
@@ -20,33 +20,33 @@
 }
 
 struct Accounts {
-    plant: Option<Plant>,
-    /// Time goes so many steps of these.
+    fault: Option<InjectedFault>,
+    /// Number and length of the time steps.
     steps: u8,
     step: Micros,
-    /// Wants, doubled notes, restarts at most.
-    left: (u8, u8, u8),
+    /// The most lease requests, duplicated messages and restarts.
+    remaining: (u8, u8, u8),
 }
 
-/// A want without its worth, as a state must be hashed.
-type Asked = (usize, u64, Life);
+/// A lease request without its worth, as a state must be hashable.
+type RequestKey = (usize, u64, Life);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     time: u8,
-    sides: Vec<(Account, Lending, u64)>,
-    wants: Vec<Asked>,
+    gateways: Vec<(Account, LeaseBook, u64)>,
+    wants: Vec<RequestKey>,
     grants: Vec<(usize, Grant)>,
     uses: Vec<Micros>,
-    left: (u8, u8, u8),
+    remaining: (u8, u8, u8),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum ModelAction {
     Time,
     Use(usize),
     Ask(usize),
-    /// A note comes; it stays on its way for another time, or not.
+    /// A message arrives; if the flag is set, a duplicate stays in flight.
     Want(usize, bool),
     Grant(usize, bool),
     Restart(usize),
@@ -64,94 +64,106 @@
 
 impl Model for Accounts {
     type State = State;
-    type Action = Act;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<State> {
-        let terms = self.options().terms();
-        let side = |_| (Account::new(terms, EVEN, 0), Lending::new(terms, life(1), 2, self.plant), 1);
+        let durations = self.options().durations();
+        let gateway =
+            |_| (Account::new(durations, BASE, 0), LeaseBook::new(durations, life(1), 2, self.fault), 1);
         let (wants, grants, uses) = (Vec::new(), Vec::new(), Vec::new());
-        let mut state =
-            State { time: 0, sides: (0..2).map(side).collect(), wants, grants, uses, left: self.left };
+        let mut state = State {
+            time: 0,
+            gateways: (0..2).map(gateway).collect(),
+            wants,
+            grants,
+            uses,
+            remaining: self.remaining,
+        };
         let now = self.now(&state);
-        state.sides.iter_mut().for_each(|s| s.0.settle(now));
+        state.gateways.iter_mut().for_each(|s| s.0.settle(now));
         vec![state]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &State, possible: &mut Vec<ModelAction>) {
         if state.time < self.steps {
-            acts.push(Act::Time);
+            possible.push(ModelAction::Time);
         }
-        for side in 0..2 {
-            if state.sides[side].0.left() >= RIGHT {
-                acts.push(Act::Use(side));
+        for gateway in 0..2 {
+            if state.gateways[gateway].0.available() >= RIGHT {
+                possible.push(ModelAction::Use(gateway));
             }
-            if state.left.0 > 0 {
-                acts.push(Act::Ask(side));
+            if state.remaining.0 > 0 {
+                possible.push(ModelAction::Ask(gateway));
             }
-            if state.left.2 > 0 {
-                acts.push(Act::Restart(side));
+            if state.remaining.2 > 0 {
+                possible.push(ModelAction::Restart(gateway));
             }
         }
-        // A lost note is one that is never taken.
-        for keep in [false, true] {
-            if !keep || state.left.1 > 0 {
-                acts.extend((0..state.wants.len()).map(|i| Act::Want(i, keep)));
-                acts.extend((0..state.grants.len()).map(|i| Act::Grant(i, keep)));
+        // A lost message is one that is never delivered.
+        for duplicate in [false, true] {
+            if !duplicate || state.remaining.1 > 0 {
+                possible.extend((0..state.wants.len()).map(|i| ModelAction::Want(i, duplicate)));
+                possible.extend((0..state.grants.len()).map(|i| ModelAction::Grant(i, duplicate)));
             }
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: ModelAction) -> Option<State> {
         let mut state = last.clone();
         let now = self.now(last);
-        match act {
-            Act::Time => {
+        match action {
+            ModelAction::Time => {
                 state.time += 1;
                 let now = self.now(&state);
-                state.sides.iter_mut().for_each(|s| s.0.settle(now));
+                state.gateways.iter_mut().for_each(|s| s.0.settle(now));
             }
-            Act::Use(side) => {
-                state.sides[side].0.spend(now, RIGHT);
+            ModelAction::Use(gateway) => {
+                state.gateways[gateway].0.spend(now, RIGHT);
                 state.uses.push(now);
             }
-            Act::Ask(side) => {
-                state.left.0 -= 1;
-                let want = state.sides[side].1.ask(now, Some(0), RIGHT, 1.0, &[name(1 - side)]);
-                state.wants.push((side, want.number, want.life));
+            ModelAction::Ask(gateway) => {
+                state.remaining.0 -= 1;
+                let want =
+                    state.gateways[gateway].1.create_request(now, Some(0), RIGHT, 1.0, &[name(1 - gateway)]);
+                state.wants.push((gateway, want.number, want.life));
             }
-            Act::Want(at, keep) => {
+            ModelAction::Want(at, duplicate) => {
                 let (from, number, life) = state.wants[at];
-                if keep {
-                    state.left.1 -= 1;
+                if duplicate {
+                    state.remaining.1 -= 1;
                 } else {
                     state.wants.remove(at);
                 }
                 let want = Want { number, shard: Some(0), amount: RIGHT, worth: 1.0, life };
-                let (account, lending, _) = &mut state.sides[1 - from];
-                if lending.is_new(&name(from), &want) {
+                let (account, leases, _) = &mut state.gateways[1 - from];
+                if leases.is_new_request(&name(from), &want) {
                     state
                         .grants
-                        .extend(lending.give(now, &want, RIGHT, 0, false, account).map(|g| (from, g)));
+                        .extend(leases.grant_lease(now, &want, RIGHT, 0, false, account).map(|g| (from, g)));
                 }
             }
-            Act::Grant(at, keep) => {
+            ModelAction::Grant(at, duplicate) => {
                 let (to, grant) = state.grants[at].clone();
-                if keep {
-                    state.left.1 -= 1;
+                if duplicate {
+                    state.remaining.1 -= 1;
                 } else {
                     state.grants.remove(at);
                 }
-                let (account, lending, _) = &mut state.sides[to];
-                let _ = lending.take(now, &name(1 - to), &grant, account);
+                let (account, leases, _) = &mut state.gateways[to];
+                let _ = leases.accept_grant(now, &name(1 - to), &grant, account);
             }
-            Act::Restart(side) => {
-                state.left.2 -= 1;
-                let terms = self.options().terms();
-                let number = state.sides[side].2 + 1;
-                let mut account =
-                    Account::new(terms, if self.plant == Some(Plant::NewLifeFull) { 0 } else { EVEN }, now);
-                account.set_even(EVEN);
-                state.sides[side] = (account, Lending::new(terms, life(number), 2, self.plant), number);
+            ModelAction::Restart(gateway) => {
+                state.remaining.2 -= 1;
+                let durations = self.options().durations();
+                let number = state.gateways[gateway].2 + 1;
+                let mut account = Account::new(
+                    durations,
+                    if self.fault == Some(InjectedFault::NewLifeStartsFull) { 0 } else { BASE },
+                    now,
+                );
+                account.set_base(BASE);
+                state.gateways[gateway] =
+                    (account, LeaseBook::new(durations, life(number), 2, self.fault), number);
             }
         }
         Some(state)
@@ -159,27 +171,32 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no window has more uses than parts", |_: &Accounts, state: &State| {
+            Property::always("no window has more uses than base tokens", |_: &Accounts, state: &State| {
                 state.uses.iter().all(|&from| {
                     state.uses.iter().filter(|&&u| (from..from + WINDOW).contains(&u)).count() <= 2
                 })
             }),
-            // The model can lend at all.
-            Property::sometimes("one gateway uses both parts", |_: &Accounts, state: &State| {
-                state.sides.iter().any(|(account, _, _)| account.turnover().spent >= 2 * RIGHT)
+            // Shows that tokens are leased at all.
+            Property::sometimes("one gateway uses the base tokens of both", |_: &Accounts, state: &State| {
+                state.gateways.iter().any(|(account, _, _)| account.totals().spent >= 2 * RIGHT)
                     && state.time == 0
             }),
         ]
     }
 }
 
-fn check(plant: Option<Plant>, steps: u8, step: Micros, left: (u8, u8, u8)) -> impl Checker<Accounts> {
-    Accounts { plant, steps, step, left }.checker().threads(2).spawn_bfs().join()
+fn check(
+    fault: Option<InjectedFault>,
+    steps: u8,
+    step: Micros,
+    remaining: (u8, u8, u8),
+) -> impl Checker<Accounts> {
+    Accounts { fault, steps, step, remaining }.checker().threads(2).spawn_bfs().join()
 }
 
 #[test]
-fn no_order_of_steps_lets_more_be_used_than_the_parts() {
-    // Windows apart, and within the life of one loan.
+fn no_order_of_actions_exceeds_the_base_tokens() {
+    // Time steps that span more than a window, and steps within the term of a lease.
     for (steps, step) in [(4, WINDOW / 3), (3, WINDOW / 20)] {
         let checker = check(None, steps, step, (1, 1, 1));
         println!("{} states", checker.unique_state_count());
@@ -190,7 +207,7 @@
 
 #[test]
 #[ignore = "some minutes"]
-fn no_order_of_more_steps_lets_more_be_used_than_the_parts() {
+fn no_order_of_more_actions_exceeds_the_base_tokens() {
     for (steps, step) in [(5, WINDOW / 3), (4, WINDOW / 20)] {
         let checker = check(None, steps, step, (2, 2, 1));
         println!("{} states", checker.unique_state_count());
@@ -199,9 +216,14 @@
 }
 
 #[test]
-fn planted_mistakes_are_found_in_some_order() {
-    for plant in [Plant::LentBeforeTaken, Plant::GrantTakenTwice, Plant::GrantUsedLate, Plant::NewLifeFull] {
-        let checker = check(Some(plant), 4, WINDOW / 3, (1, 1, 1));
-        assert!(checker.discovery("no window has more uses than parts").is_some(), "{plant:?}");
+fn injected_faults_are_found_in_some_order() {
+    for fault in [
+        InjectedFault::LeaseNotDebited,
+        InjectedFault::GrantAcceptedTwice,
+        InjectedFault::LeaseCountedFromArrival,
+        InjectedFault::NewLifeStartsFull,
+    ] {
+        let checker = check(Some(fault), 4, WINDOW / 3, (1, 1, 1));
+        assert!(checker.discovery("no window has more uses than base tokens").is_some(), "{fault:?}");
     }
 }
--- a/crates/repeats/tests/rig/check.rs
+++ b/crates/repeats/tests/rig/check.rs
@@ -1,8 +1,9 @@
-//! The rule, judged from what arrived at the nodes and what they served. Shares no code with the package.
+//! The limit, checked against the arrivals at the nodes and the requests they served. Shares no code
+//! with the package.
 
 use std::collections::BTreeSet;
 
-/// One send as a node saw it.
+/// An attempt as a node saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at: i64,
@@ -13,27 +14,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     pub arrivals: Vec<Arrival>,
-    /// When and for which shard a node served.
+    /// When a node served a request, and for which shard.
     pub served: Vec<(i64, u32)>,
 }
 
-/// A bound to judge by: further sends <= free + share x served, in all windows that lie in `within`.
+/// The limit to check: retries <= free + share x served, in all windows that lie in `within`.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
     pub window: i64,
     pub free: f64,
     pub share: f64,
-    /// What was served so long before a window counts, too.
+    /// Requests served this long before a window count as well.
     pub before: i64,
-    /// The shard; none: all of them.
+    /// The shard; none for all shards together.
     pub shard: Option<u32>,
     pub within: (i64, i64),
 }
 
-/// The worst window.
+/// The window with the largest excess.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Worst {
-    /// Further sends beyond the bound; negative: so much was left.
+    /// Retries beyond the limit; negative if some were left.
     pub excess: f64,
     pub further: usize,
     pub bound: f64,
@@ -45,7 +46,8 @@
 }
 
 impl Records {
-    /// When sends beyond the first of their request arrived. A request's first is the first that arrived anywhere.
+    /// Arrival times of the attempts after the first of their request. The first is the one that arrived
+    /// first at any node.
     pub fn further(&self, shard: Option<u32>) -> Vec<i64> {
         let mut seen = BTreeSet::new();
         let mut arrivals = self.arrivals.clone();
@@ -54,8 +56,8 @@
         arrivals.iter().filter(|a| is_in(shard, a.shard)).map(|a| a.at).collect()
     }
 
-    /// Holds every window that ends with a further send against the rule.
-    pub fn judge(&self, rule: &Rule) -> Worst {
+    /// Checks every window that ends with a retry against the limit.
+    pub fn check(&self, rule: &Rule) -> Worst {
         let further = self.further(rule.shard);
         let mut served: Vec<i64> =
             self.served.iter().filter(|s| is_in(rule.shard, s.1)).map(|s| s.0).collect();
@@ -78,7 +80,7 @@
         worst
     }
 
-    /// All sends for each first one, in the worst of the windows that follow on one another.
+    /// Attempts per first attempt, in the worst of a series of windows that overlap by half.
     pub fn amplification(&self, shard: u32, window: i64) -> f64 {
         let further = self.further(Some(shard));
         let mut worst = 1.0_f64;
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -1,11 +1,13 @@
-//! A fleet in virtual time: clients that repeat at other gateways, gateways with clocks of their own, nodes that are silent, cold and
-//! overloaded, notes that are lost, late and doubled, cuts, kills. What arrives at the nodes is written down and judged apart.
+//! A fleet in virtual time: clients that retry at other gateways; gateways with their own clocks; nodes
+//! that are silent, cold and overloaded; messages that are lost, late and duplicated; network
+//! partitions; kills. Arrivals at the nodes are recorded and checked separately.
 #![allow(dead_code)]
 
 pub mod check;
-pub mod day;
-pub mod gate;
+mod event;
+pub mod gateway;
 pub mod node;
+pub mod scenario;
 pub mod steward;
 
 use std::collections::BTreeMap;
@@ -16,95 +18,57 @@
 use repeats::{Input, Micros, key_of};
 
 use check::{Arrival, Records};
-use day::Day;
-use gate::{Gate, life, name};
-use node::{Fate, Node};
+use event::{Attempt, End, Event, Request};
+use gateway::{Gateway, life, name};
+use node::{Node, NodeResponse};
+use scenario::Scenario;
 
 pub const SECOND: Micros = 1_000_000;
 pub const MILLI: Micros = 1_000;
-/// A gateway waits so long for a node.
-const PATIENCE: Micros = 200 * MILLI;
-/// Attempts at one gateway.
+/// How long a gateway waits for a node.
+const NODE_TIMEOUT: Micros = 200 * MILLI;
+/// Attempts of a gateway for each request it receives.
 const ATTEMPTS: u32 = 3;
-/// A client gives a gateway so long, and a request so long in all and so many tries.
-const CLIENT_PATIENCE: Micros = 700 * MILLI;
-const REQUEST_PATIENCE: Micros = 10 * SECOND;
+/// How long a client waits for a gateway, for a request in all, and how often it tries.
+const CLIENT_TIMEOUT: Micros = 700 * MILLI;
+const REQUEST_TIMEOUT: Micros = 10 * SECOND;
 const TRIES: u32 = 8;
 const TICK: Micros = 5 * MILLI;
 
-enum Event {
-    New(u32),
-    Try { request: usize, gate: usize },
-    AtNode { attempt: usize },
-    End { attempt: usize, fate: End },
-    Reply { request: usize, number: u32, served: bool, come_back: Option<Micros> },
-    Waited { request: usize, number: u32 },
-    Note { from: usize, life: u64, to: usize, body: Vec<u8> },
-    Tick,
-    Kill(usize),
-    Start(usize),
-}
-
-#[derive(Clone, Copy, PartialEq)]
-enum End {
-    Served,
-    Refused,
-    Mute,
-}
-
-struct Request {
-    shard: u32,
-    key: u64,
-    marked: bool,
-    born: Micros,
-    tries: u32,
-    gate: usize,
-    done: bool,
-}
-
-struct Attempt {
-    request: usize,
-    number: u32,
-    gate: usize,
-    life: u64,
-    node: usize,
-    nth: u32,
-    open: bool,
-}
-
 pub struct Rig {
-    day: Day,
+    scenario: Scenario,
     rng: SmallRng,
     now: Micros,
     events: BTreeMap<(Micros, u64), Event>,
     order: u64,
-    gates: Vec<Gate>,
+    gateways: Vec<Gateway>,
     nodes: Vec<Node>,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
     pub records: Records,
-    /// When each request was first asked, its shard, and how long its client waited until it was served.
+    /// When each request was first sent, its shard, and how long its client waited until it was served.
     pub answers: Vec<(Micros, u32, Option<Micros>)>,
-    pub notes: u64,
+    pub messages: u64,
     pub bytes: u64,
 }
 
 impl Rig {
-    /// Lives through the day.
-    pub fn run(day: Day) -> Rig {
-        let mut rng = SmallRng::seed_from_u64(day.seed);
-        let gates = (0..day.gateways).map(|i| {
-            // The first fast and the second slow by the whole drift, the others somewhere between.
+    /// Runs the scenario.
+    pub fn run(scenario: Scenario) -> Rig {
+        let mut rng = SmallRng::seed_from_u64(scenario.seed);
+        let gateways = (0..scenario.gateways).map(|i| {
+            // The first clock is fast and the second slow by the full drift, the others are somewhere
+            // between.
             let part = [1.0, -1.0].get(i).copied().unwrap_or_else(|| rng.random_range(-1.0..1.0));
-            Gate::new(i, (day.drift * part * 1e6) as Micros)
+            Gateway::new(i, (scenario.drift * part * 1e6) as Micros)
         });
-        let gates = gates.collect();
-        let nodes = (0..day.shards as usize * day.nodes).map(|i| Node {
-            capacity: day.capacity,
+        let gateways = gateways.collect();
+        let nodes = (0..scenario.shards as usize * scenario.nodes).map(|i| Node {
+            capacity: scenario.capacity,
             wait: 300 * MILLI,
             refusal: 0.3,
-            silent: if i < day.nodes { day.silent } else { None },
-            warming: day.warming,
+            silent: if i < scenario.nodes { scenario.silent } else { None },
+            warming: scenario.warming,
             busy_until: 0,
         });
         let nodes = nodes.collect();
@@ -112,260 +76,291 @@
         let events = BTreeMap::new();
         let records = Records::default();
         let mut rig = Rig {
-            day,
+            scenario,
             rng,
             now: 0,
             events,
             order: 0,
-            gates,
+            gateways,
             nodes,
             requests,
             attempts,
             records,
             answers,
-            notes: 0,
+            messages: 0,
             bytes: 0,
         };
-        for gate in 0..rig.day.gateways {
-            rig.start(gate);
+        for gateway in 0..rig.scenario.gateways {
+            rig.start(gateway);
         }
-        (0..rig.day.shards).for_each(|shard| rig.at(1, Event::New(shard)));
-        rig.at(TICK, Event::Tick);
-        if let Some(every) = rig.day.kills {
-            for (n, at) in (SECOND..rig.day.end).step_by(every as usize).enumerate() {
-                rig.at(at, Event::Kill(n % rig.day.gateways));
+        (0..rig.scenario.shards).for_each(|shard| rig.schedule(1, Event::New(shard)));
+        rig.schedule(TICK, Event::Tick);
+        if let Some(every) = rig.scenario.kills {
+            for (n, at) in (SECOND..rig.scenario.end).step_by(every as usize).enumerate() {
+                rig.schedule(at, Event::Kill(n % rig.scenario.gateways));
             }
         }
         while let Some(((at, _), event)) = rig.events.pop_first() {
-            if at > rig.day.end {
+            if at > rig.scenario.end {
                 break;
             }
             rig.now = at;
-            rig.happen(event);
+            rig.process(event);
         }
         rig
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.order += 1;
         self.events.insert((at, self.order), event);
     }
 
-    fn after(&mut self, from: Micros, to: Micros, event: Event) {
+    fn schedule_between(&mut self, from: Micros, to: Micros, event: Event) {
         let at = self.now + self.rng.random_range(from..=to);
-        self.at(at, event);
+        self.schedule(at, event);
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        let half = self.day.gateways / 2;
-        self.day.halves.is_some_and(|(from, to)| (from..to).contains(&self.now)) && (a < half) != (b < half)
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        let half = self.scenario.gateways / 2;
+        self.scenario.partition.is_some_and(|(from, to)| (from..to).contains(&self.now))
+            && (a < half) != (b < half)
     }
 
-    fn hand(&mut self, gate: usize, input: Input) {
-        let notes = self.gates[gate].hand(self.now, input);
-        let life = self.gates[gate].life;
-        for (to, body) in notes {
-            let to = (0..self.day.gateways).find(|&i| name(i) == to).expect("a member");
-            self.notes += 1;
+    fn handle_input(&mut self, gateway: usize, input: Input) {
+        let messages = self.gateways[gateway].handle_input(self.now, input);
+        let life = self.gateways[gateway].life;
+        for (to, body) in messages {
+            let to = (0..self.scenario.gateways).find(|&i| name(i) == to).expect("a member");
+            self.messages += 1;
             self.bytes += body.len() as u64;
-            if self.is_cut(gate, to) || self.rng.random_bool(self.day.lost) {
+            if self.is_partitioned(gateway, to) || self.rng.random_bool(self.scenario.lost) {
                 continue;
             }
             let late = |rng: &mut SmallRng| rng.random_range(SECOND / 20..10 * SECOND);
-            let delay = if self.rng.random_bool(self.day.late) {
+            let delay = if self.rng.random_bool(self.scenario.late) {
                 if self.rng.random_bool(0.5) { 10 * SECOND } else { late(&mut self.rng) }
             } else {
                 self.rng.random_range(MILLI..3 * MILLI)
             };
-            if self.rng.random_bool(self.day.doubled) {
+            if self.rng.random_bool(self.scenario.duplicated) {
                 let again = if self.rng.random_bool(0.5) { MILLI } else { late(&mut self.rng) };
-                self.at(self.now + delay + again, Event::Note { from: gate, life, to, body: body.clone() });
+                self.schedule(
+                    self.now + delay + again,
+                    Event::Message { from: gateway, life, to, body: body.clone() },
+                );
             }
-            self.at(self.now + delay, Event::Note { from: gate, life, to, body });
+            self.schedule(self.now + delay, Event::Message { from: gateway, life, to, body });
         }
     }
 
-    fn start(&mut self, gate: usize) {
-        let mut options = self.day.options(gate);
-        options.name = name(gate);
-        let (source, plant, seed) = (self.day.source, self.day.plant, self.day.seed);
-        self.gates[gate].start(self.now, source, plant, options, seed);
+    fn start(&mut self, gateway: usize) {
+        let mut options = self.scenario.options(gateway);
+        options.name = name(gateway);
+        let (source, fault, seed) = (self.scenario.source, self.scenario.fault, self.scenario.seed);
+        self.gateways[gateway].start(self.now, source, fault, options, seed);
         let peers: Vec<PeerName> =
-            (0..self.day.gateways).filter(|&i| !self.is_cut(gate, i)).map(name).collect();
-        self.hand(gate, Input::Peers(peers));
+            (0..self.scenario.gateways).filter(|&i| !self.is_partitioned(gateway, i)).map(name).collect();
+        self.handle_input(gateway, Input::Peers(peers));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         match event {
-            Event::New(shard) => self.begin(shard),
-            Event::Try { request, gate } => self.arrive(request, gate),
+            Event::New(shard) => self.start_request(shard),
+            Event::Try { request, gateway } => self.handle_client_request(request, gateway),
             Event::AtNode { attempt } => self.at_node(attempt),
-            Event::End { attempt, fate } => self.end(attempt, fate),
+            Event::End { attempt, outcome } => self.end(attempt, outcome),
             Event::Reply { request, number, served, come_back } => {
-                self.reply(request, number, served, come_back)
+                self.handle_reply(request, number, served, come_back)
             }
-            Event::Waited { request, number } => self.reply(request, number, false, None),
-            Event::Note { from, life: n, to, body } => {
-                if self.gates[to].up {
-                    self.hand(to, Input::Heard { from: name(from), life: life(n), body });
+            Event::TimedOut { request, number } => self.handle_reply(request, number, false, None),
+            Event::Message { from, life: n, to, body } => {
+                if self.gateways[to].up {
+                    self.handle_input(to, Input::Heard { from: name(from), life: life(n), body });
                 }
             }
             Event::Tick => {
-                // The view follows a cut when it begins and when it ends.
-                let turned = self.day.halves.is_some_and(|(from, to)| {
+                // The membership view changes when a partition begins and when it ends.
+                let turned = self.scenario.partition.is_some_and(|(from, to)| {
                     [from, to].iter().any(|t| (self.now - TICK..self.now).contains(t))
                 });
-                for gate in 0..self.day.gateways {
-                    if turned && self.gates[gate].up {
-                        let peers =
-                            (0..self.day.gateways).filter(|&i| !self.is_cut(gate, i)).map(name).collect();
-                        self.hand(gate, Input::Peers(peers));
+                for gateway in 0..self.scenario.gateways {
+                    if turned && self.gateways[gateway].up {
+                        let peers = (0..self.scenario.gateways)
+                            .filter(|&i| !self.is_partitioned(gateway, i))
+                            .map(name)
+                            .collect();
+                        self.handle_input(gateway, Input::Peers(peers));
                     }
-                    if self.gates[gate].is_due(self.now) {
-                        self.hand(gate, Input::Tick);
+                    if self.gateways[gateway].is_due(self.now) {
+                        self.handle_input(gateway, Input::Tick);
                     }
                 }
-                self.at(self.now + TICK, Event::Tick);
+                self.schedule(self.now + TICK, Event::Tick);
             }
-            Event::Kill(gate) => {
-                self.gates[gate].up = false;
-                self.at(self.now + 200 * MILLI, Event::Start(gate));
+            Event::Kill(gateway) => {
+                self.gateways[gateway].up = false;
+                self.schedule(self.now + 200 * MILLI, Event::Start(gateway));
             }
-            Event::Start(gate) => self.start(gate),
+            Event::Start(gateway) => self.start(gateway),
         }
     }
 
-    fn begin(&mut self, shard: u32) {
-        let rate = self.day.load * self.day.capacity * self.day.nodes as f64;
+    fn start_request(&mut self, shard: u32) {
+        let rate = self.scenario.load * self.scenario.capacity * self.scenario.nodes as f64;
         let gap = -(1.0 - self.rng.random::<f64>()).ln() * 1e6 / rate;
-        self.at(self.now + gap as Micros + 1, Event::New(shard));
+        self.schedule(self.now + gap as Micros + 1, Event::New(shard));
         let key = key_of(shard, self.requests.len() as u64, 0, 8);
-        let (marked, born) = (!self.rng.random_bool(self.day.unmarked), self.now);
+        let (marked, created) = (!self.rng.random_bool(self.scenario.unmarked), self.now);
         let request = self.requests.len();
-        self.answers.push((born, shard, None));
-        self.requests.push(Request { shard, key, marked, born, tries: 0, gate: usize::MAX, done: false });
-        self.go(request, 0);
+        self.answers.push((created, shard, None));
+        self.requests.push(Request {
+            shard,
+            key,
+            marked,
+            created,
+            tries: 0,
+            gateway: usize::MAX,
+            done: false,
+        });
+        self.send_client_request(request, 0);
     }
 
-    /// A client tries (again), at another gateway than the last.
-    fn go(&mut self, request: usize, wait: Micros) {
-        let step = if self.day.skew { 2 } else { 1 };
-        let count = self.day.gateways / step;
-        let mut gate = self.rng.random_range(0..count) * step;
-        if gate == self.requests[request].gate && count > 1 {
-            gate = (gate + step) % (count * step);
+    /// A client sends its request, each time to another gateway than the last.
+    fn send_client_request(&mut self, request: usize, wait: Micros) {
+        let step = if self.scenario.skew { 2 } else { 1 };
+        let count = self.scenario.gateways / step;
+        let mut gateway = self.rng.random_range(0..count) * step;
+        if gateway == self.requests[request].gateway && count > 1 {
+            gateway = (gateway + step) % (count * step);
         }
         let r = &mut self.requests[request];
         r.tries += 1;
-        r.gate = gate;
+        r.gateway = gateway;
         let number = r.tries;
-        self.after(wait + MILLI, wait + 2 * MILLI, Event::Try { request, gate });
-        self.at(self.now + wait + CLIENT_PATIENCE, Event::Waited { request, number });
+        self.schedule_between(wait + MILLI, wait + 2 * MILLI, Event::Try { request, gateway });
+        self.schedule(self.now + wait + CLIENT_TIMEOUT, Event::TimedOut { request, number });
     }
 
-    fn reply(&mut self, request: usize, number: u32, served: bool, come_back: Option<Micros>) {
+    fn handle_reply(&mut self, request: usize, number: u32, served: bool, come_back: Option<Micros>) {
         let r = &mut self.requests[request];
         if r.done || r.tries != number {
             return;
         }
         if served {
             r.done = true;
-            self.answers[request].2 = Some(self.now - r.born);
+            self.answers[request].2 = Some(self.now - r.created);
             return;
         }
         let own = if r.marked { 100 * MILLI } else { 200 * MILLI };
         let wait = come_back.unwrap_or(own) + self.rng.random_range(0..50 * MILLI);
         let r = &mut self.requests[request];
-        if r.tries >= TRIES || self.now + wait - r.born > REQUEST_PATIENCE {
+        if r.tries >= TRIES || self.now + wait - r.created > REQUEST_TIMEOUT {
             r.done = true;
             return;
         }
-        self.go(request, wait);
+        self.send_client_request(request, wait);
     }
 
-    fn arrive(&mut self, request: usize, gate: usize) {
+    fn handle_client_request(&mut self, request: usize, gateway: usize) {
         let (r, now) = (&self.requests[request], self.now);
-        if !self.gates[gate].up {
+        if !self.gateways[gateway].up {
             return;
         }
         let (shard, number) = (r.shard, r.tries);
-        let repeat = r.marked && r.tries > 1 || self.gates[gate].is_repeat(now, r.key);
+        let repeat = r.marked && r.tries > 1 || self.gateways[gateway].is_repeat(now, r.key);
         if !repeat {
-            return self.send(request, gate, number, 1, false);
+            return self.send(request, gateway, number, 1, false);
         }
-        match self.gates[gate].may(shard) {
-            Ok(()) => self.send(request, gate, number, 1, true),
-            Err(come_back) => self.hold_back(request, gate, number, come_back),
+        match self.gateways[gateway].try_retry(shard) {
+            Ok(()) => self.send(request, gateway, number, 1, true),
+            Err(come_back) => self.hold_back(request, gateway, number, come_back),
         }
     }
 
-    fn hold_back(&mut self, request: usize, gate: usize, number: u32, come_back: Option<Micros>) {
-        let (shard, left) = (self.requests[request].shard, CLIENT_PATIENCE);
-        self.gates[gate].held_back += 1;
-        self.hand(gate, Input::Wanted { shard, worth: 1.0, left });
-        self.after(MILLI, 2 * MILLI, Event::Reply { request, number, served: false, come_back });
+    fn hold_back(&mut self, request: usize, gateway: usize, number: u32, come_back: Option<Micros>) {
+        let (shard, left) = (self.requests[request].shard, CLIENT_TIMEOUT);
+        self.gateways[gateway].held_back += 1;
+        self.handle_input(gateway, Input::Wanted { shard, worth: 1.0, left });
+        self.schedule_between(MILLI, 2 * MILLI, Event::Reply { request, number, served: false, come_back });
     }
 
-    fn send(&mut self, request: usize, gate: usize, number: u32, nth: u32, further: bool) {
+    fn send(&mut self, request: usize, gateway: usize, number: u32, attempt_number: u32, further: bool) {
         let shard = self.requests[request].shard;
-        let node = shard as usize * self.day.nodes + self.rng.random_range(0..self.day.nodes);
-        let (attempt, life) = (self.attempts.len(), self.gates[gate].life);
-        self.attempts.push(Attempt { request, number, gate, life, node, nth, open: true });
-        self.hand(gate, Input::Sent { shard, further });
-        self.after(MILLI / 2, 2 * MILLI, Event::AtNode { attempt });
-        self.at(self.now + PATIENCE, Event::End { attempt, fate: End::Mute });
+        let node = shard as usize * self.scenario.nodes + self.rng.random_range(0..self.scenario.nodes);
+        let (attempt, life) = (self.attempts.len(), self.gateways[gateway].life);
+        self.attempts.push(Attempt { request, number, gateway, life, node, attempt_number, open: true });
+        self.handle_input(gateway, Input::Sent { shard, further });
+        self.schedule_between(MILLI / 2, 2 * MILLI, Event::AtNode { attempt });
+        self.schedule(self.now + NODE_TIMEOUT, Event::End { attempt, outcome: End::NoAnswer });
     }
 
     fn at_node(&mut self, attempt: usize) {
         let a = &self.attempts[attempt];
         let (node, request, shard) = (a.node, a.request, self.requests[a.request].shard);
         self.records.arrivals.push(Arrival { at: self.now, shard, request });
-        let refuse = self.day.refuse > 0.0 && shard == 0 && self.rng.random_bool(self.day.refuse);
-        match self.nodes[node].takes(self.now, refuse) {
-            Fate::Served(at) => {
+        let refuse = self.scenario.refuse > 0.0 && shard == 0 && self.rng.random_bool(self.scenario.refuse);
+        match self.nodes[node].receive(self.now, refuse) {
+            NodeResponse::Served(at) => {
                 self.records.served.push((at, shard));
-                let back = at + self.rng.random_range(MILLI / 2..2 * MILLI);
-                self.at(back, Event::End { attempt, fate: End::Served });
+                let reply_at = at + self.rng.random_range(MILLI / 2..2 * MILLI);
+                self.schedule(reply_at, Event::End { attempt, outcome: End::Served });
+            }
+            NodeResponse::Refused => {
+                self.schedule_between(MILLI / 2, 2 * MILLI, Event::End { attempt, outcome: End::Refused })
             }
-            Fate::Refused => self.after(MILLI / 2, 2 * MILLI, Event::End { attempt, fate: End::Refused }),
-            Fate::Lost => {}
+            NodeResponse::Lost => {}
         }
     }
 
-    fn end(&mut self, attempt: usize, fate: End) {
+    fn end(&mut self, attempt: usize, outcome: End) {
         let a = &mut self.attempts[attempt];
         if !a.open {
             return;
         }
         a.open = false;
-        let (request, gate, number, node, nth) = (a.request, a.gate, a.number, a.node, a.nth);
-        if !self.gates[gate].up || self.gates[gate].life != a.life {
+        let (request, gateway, number, node, attempt_number) =
+            (a.request, a.gateway, a.number, a.node, a.attempt_number);
+        if !self.gateways[gateway].up || self.gateways[gateway].life != a.life {
             return;
         }
         let (shard, key) = (self.requests[request].shard, self.requests[request].key);
-        self.hand(gate, Input::Ended { shard, served: fate == End::Served, refused: fate == End::Refused });
-        let mute = self.gates[gate].mute.entry(node).or_default();
-        *mute = if fate == End::Mute { *mute + 1 } else { 0 };
-        // Own sight: three in a row without an answer, or a start so short ago that the node is cold yet.
-        let first = shard as usize * self.day.nodes;
-        let on = (first..first + self.day.nodes).any(|n| {
-            self.gates[gate].mute.get(&n).is_some_and(|&m| m >= 3) || self.nodes[n].is_cold(self.now)
+        self.handle_input(
+            gateway,
+            Input::Ended { shard, served: outcome == End::Served, refused: outcome == End::Refused },
+        );
+        let unanswered = self.gateways[gateway].unanswered.entry(node).or_default();
+        *unanswered = if outcome == End::NoAnswer { *unanswered + 1 } else { 0 };
+        // This gateway's own observation: three attempts in a row without an answer, or a node that
+        // started so recently that it is cold.
+        let first = shard as usize * self.scenario.nodes;
+        let on = (first..first + self.scenario.nodes).any(|n| {
+            self.gateways[gateway].unanswered.get(&n).is_some_and(|&m| m >= 3)
+                || self.nodes[n].is_cold(self.now)
         });
-        self.hand(gate, Input::Recovers { shard, on });
-        if fate == End::Served {
-            self.after(MILLI, 2 * MILLI, Event::Reply { request, number, served: true, come_back: None });
+        self.handle_input(gateway, Input::Recovers { shard, on });
+        if outcome == End::Served {
+            self.schedule_between(
+                MILLI,
+                2 * MILLI,
+                Event::Reply { request, number, served: true, come_back: None },
+            );
             return;
         }
-        if nth < ATTEMPTS && self.requests[request].tries == number && !self.requests[request].done {
-            match self.gates[gate].may(shard) {
-                Ok(()) => return self.send(request, gate, number, nth + 1, true),
+        if attempt_number < ATTEMPTS && self.requests[request].tries == number && !self.requests[request].done
+        {
+            match self.gateways[gateway].try_retry(shard) {
+                Ok(()) => return self.send(request, gateway, number, attempt_number + 1, true),
                 Err(come_back) => {
-                    self.hand(gate, Input::Unserved { key });
-                    return self.hold_back(request, gate, number, come_back);
+                    self.handle_input(gateway, Input::Unserved { key });
+                    return self.hold_back(request, gateway, number, come_back);
                 }
             }
         }
-        self.hand(gate, Input::Unserved { key });
-        self.after(MILLI, 2 * MILLI, Event::Reply { request, number, served: false, come_back: None });
+        self.handle_input(gateway, Input::Unserved { key });
+        self.schedule_between(
+            MILLI,
+            2 * MILLI,
+            Event::Reply { request, number, served: false, come_back: None },
+        );
     }
 }
--- a/crates/repeats/tests/rig/node.rs
+++ b/crates/repeats/tests/rig/node.rs
@@ -1,24 +1,25 @@
-//! A node: one server with a queue, cold after a silence, slower with every request that it has to refuse.
+//! A node: one server with a queue, cold after a silence, and slowed by every request that it has to
+//! refuse.
 
 use repeats::Micros;
 
-/// What a node makes of a request.
+/// What a node does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Served at that moment.
+pub enum NodeResponse {
+    /// Served at that time.
     Served(Micros),
     /// Refused at once.
     Refused,
-    /// Never heard of again.
+    /// Never answered.
     Lost,
 }
 
 pub struct Node {
     /// Requests a second when warm.
     pub capacity: f64,
-    /// How long a request may wait here; beyond it it is refused, beyond twice that dropped.
+    /// How long a request may wait here. Beyond it the request is refused, beyond twice that dropped.
     pub wait: Micros,
-    /// What a refusal costs, as a part of serving.
+    /// The cost of a refusal, as a fraction of the cost of serving.
     pub refusal: f64,
     pub silent: Option<(Micros, Micros)>,
     pub warming: Micros,
@@ -42,21 +43,21 @@
         1e6 / (self.capacity * warm)
     }
 
-    pub fn takes(&mut self, now: Micros, refuse: bool) -> Fate {
+    pub fn receive(&mut self, now: Micros, refuse: bool) -> NodeResponse {
         if self.is_silent(now) {
             self.busy_until = now;
-            return Fate::Lost;
+            return NodeResponse::Lost;
         }
         let backlog = (self.busy_until - now).max(0);
         let cost = self.cost(now);
         if backlog > 2 * self.wait {
-            return Fate::Lost;
+            return NodeResponse::Lost;
         }
         if refuse || backlog > self.wait {
             self.busy_until = now + backlog + (cost * self.refusal) as Micros;
-            return Fate::Refused;
+            return NodeResponse::Refused;
         }
         self.busy_until = now + backlog + cost as Micros;
-        Fate::Served(self.busy_until)
+        NodeResponse::Served(self.busy_until)
     }
 }
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -1,18 +1,19 @@
-//! A steward for each shard, to be measured beside what was built: one gateway, drawn by rendezvous hashing over the configured
-//! members, holds the whole account and leases rights out. It is the same one in all views, as two would double the rights; so
-//! while it is cut off or starts anew its shard has none.
+//! An alternative for comparison: a steward for each shard. One gateway, selected by rendezvous hashing
+//! over the configured members, holds the whole account and leases tokens to the others. It is the same
+//! one in all membership views, as two would double the tokens; so while it is partitioned or restarting
+//! its shard has none.
 
 use std::collections::BTreeMap;
 
 use peer::Life;
 use repeats::account::Account;
-use repeats::lending::Lending;
+use repeats::leases::LeaseBook;
 use repeats::message::{Fact, Word};
-use repeats::{Allowance, CapOptions, Input, Micros, Output, RECOVERING_FREE, RIGHT};
+use repeats::{Allowance, CapOptions, Input, Micros, Output, RECOVERING_FREE_PART, RIGHT};
 
-use super::gate::name;
+use super::gateway::name;
 
-struct Post {
+struct ShardAccount {
     steward: usize,
     account: Account,
     need: u64,
@@ -24,8 +25,8 @@
 pub struct Steward {
     index: usize,
     options: CapOptions,
-    posts: BTreeMap<u32, Post>,
-    lending: Lending,
+    shard_accounts: BTreeMap<u32, ShardAccount>,
+    leases: LeaseBook,
     next: Micros,
     even: BTreeMap<u32, u64>,
 }
@@ -37,72 +38,89 @@
 
 impl Steward {
     pub fn new(index: usize, options: CapOptions, life: Life, now: Micros) -> Self {
-        let terms = options.terms();
+        let durations = options.durations();
         let mut even = BTreeMap::new();
-        let posts = options.shards.iter().map(|&shard| {
+        let shard_accounts = options.shards.iter().map(|&shard| {
             let steward = steward_of(shard, options.members);
             let part = if steward == index { (options.free * RIGHT as f64) as u64 } else { 0 };
             even.insert(shard, part);
-            let account = Account::new(terms, part, now);
-            (shard, Post { steward, account, need: 0, recovers: false, served: 0, allowed: None })
+            let account = Account::new(durations, part, now);
+            (shard, ShardAccount { steward, account, need: 0, recovers: false, served: 0, allowed: None })
         });
-        let posts = posts.collect();
-        let lending = Lending::new(terms, life, options.members, None);
-        Steward { index, options, posts, lending, next: now, even }
+        let shard_accounts = shard_accounts.collect();
+        let leases = LeaseBook::new(durations, life, options.members, None);
+        Steward { index, options, shard_accounts, leases, next: now, even }
     }
 
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        let share = |post: &Post, o: &CapOptions| if post.recovers { o.recovering_share } else { o.share };
+        let share = |shard_account: &ShardAccount, o: &CapOptions| {
+            if shard_account.recovers { o.recovering_share } else { o.share }
+        };
         match input {
             Input::Sent { shard, further: true } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.account.spend(now, RIGHT);
-                    post.need += 1;
-                    post.allowed = post.allowed.map(|a| a.saturating_sub(1));
+                if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
+                    shard_account.account.spend(now, RIGHT);
+                    shard_account.need += 1;
+                    shard_account.allowed = shard_account.allowed.map(|a| a.saturating_sub(1));
                 }
             }
             Input::Ended { shard, served: true, .. } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.served += 1;
-                    if post.steward == self.index {
-                        post.account.earn(now, (share(post, &self.options) * RIGHT as f64) as u64);
+                if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
+                    shard_account.served += 1;
+                    if shard_account.steward == self.index {
+                        shard_account
+                            .account
+                            .earn(now, (share(shard_account, &self.options) * RIGHT as f64) as u64);
                     }
                 }
             }
             Input::Wanted { shard, .. } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.need += 1;
+                if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
+                    shard_account.need += 1;
                 }
             }
             Input::Recovers { shard, on } => {
-                if let Some(post) = self.posts.get_mut(&shard) {
-                    post.recovers = on;
+                if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
+                    shard_account.recovers = on;
                     let part = self.even.get(&shard).copied().unwrap_or(0) as f64;
-                    post.account.set_even(if on { (part * RECOVERING_FREE) as u64 } else { part as u64 });
+                    shard_account.account.set_base(if on {
+                        (part * RECOVERING_FREE_PART) as u64
+                    } else {
+                        part as u64
+                    });
                 }
             }
             Input::Heard { from, body, .. } => {
                 let Ok(word) = Word::read(&body) else { return };
                 for want in &word.wants {
-                    let Some(post) = want.shard.and_then(|s| self.posts.get_mut(&s)) else { continue };
+                    let Some(shard_account) = want.shard.and_then(|s| self.shard_accounts.get_mut(&s)) else {
+                        continue;
+                    };
                     let fact = word.facts.iter().find(|f| Some(f.shard) == want.shard);
                     let more = fact.map_or(0, |f| f.served);
-                    let each = (share(post, &self.options) * RIGHT as f64) as u64;
-                    if post.steward != self.index {
+                    let each = (share(shard_account, &self.options) * RIGHT as f64) as u64;
+                    if shard_account.steward != self.index {
                         continue;
                     }
-                    // What was served since the last report: one that is lost loses rights, one that is late earns late.
-                    if self.lending.is_new(&from, want) {
-                        post.account.earn(now, each * u64::from(more));
-                        let grant =
-                            self.lending.give(now, want, want.amount, 0, post.recovers, &mut post.account);
+                    // Requests served since the last report: a lost report loses tokens, a late one
+                    // earns them late.
+                    if self.leases.is_new_request(&from, want) {
+                        shard_account.account.earn(now, each * u64::from(more));
+                        let grant = self.leases.grant_lease(
+                            now,
+                            want,
+                            want.amount,
+                            0,
+                            shard_account.recovers,
+                            &mut shard_account.account,
+                        );
                         let word = Word { grants: grant.into_iter().collect(), ..Word::default() };
                         out.push(Output::Send { to: from.clone(), body: peer::wire::encode(&word) });
                     }
                 }
                 for grant in &word.grants {
-                    if let Some(post) = grant.shard.and_then(|s| self.posts.get_mut(&s)) {
-                        let _ = self.lending.take(now, &from, grant, &mut post.account);
+                    if let Some(shard_account) = grant.shard.and_then(|s| self.shard_accounts.get_mut(&s)) {
+                        let _ = self.leases.accept_grant(now, &from, grant, &mut shard_account.account);
                     }
                 }
             }
@@ -110,28 +128,29 @@
         }
         if now >= self.next {
             self.next = now + self.options.window / 20;
-            self.ask(now, out);
+            self.report_and_request(now, out);
         }
-        for (&shard, post) in &mut self.posts {
-            post.account.settle(now);
-            let target = (post.account.left() / RIGHT) as u32;
-            if post.allowed != Some(target) {
-                post.allowed = Some(target);
+        for (&shard, shard_account) in &mut self.shard_accounts {
+            shard_account.account.settle(now);
+            let target = (shard_account.account.available() / RIGHT) as u32;
+            if shard_account.allowed != Some(target) {
+                shard_account.allowed = Some(target);
                 let come_back = self.options.warming;
                 out.push(Output::Allow(Allowance { shard, further: target, come_back }));
             }
         }
     }
 
-    /// Reports and asks in one note.
-    fn ask(&mut self, now: Micros, out: &mut Vec<Output>) {
-        for (&shard, post) in &mut self.posts {
-            let amount = Lending::amount(post.need, post.account.left());
-            post.need = 0;
-            if post.steward != self.index {
-                let to = name(post.steward);
-                let want = self.lending.ask(now, Some(shard), amount, 1.0, std::slice::from_ref(&to));
-                let served = std::mem::take(&mut post.served);
+    /// Reports and requests tokens in one message.
+    fn report_and_request(&mut self, now: Micros, out: &mut Vec<Output>) {
+        for (&shard, shard_account) in &mut self.shard_accounts {
+            let amount = LeaseBook::amount_needed(shard_account.need, shard_account.account.available());
+            shard_account.need = 0;
+            if shard_account.steward != self.index {
+                let to = name(shard_account.steward);
+                let want =
+                    self.leases.create_request(now, Some(shard), amount, 1.0, std::slice::from_ref(&to));
+                let served = std::mem::take(&mut shard_account.served);
                 let fact = Fact { shard, seen: false, served, bad: 0 };
                 let word = Word { wants: vec![want], facts: vec![fact], ..Word::default() };
                 out.push(Output::Send { to, body: peer::wire::encode(&word) });
