--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -2,7 +2,7 @@
 
 use peer::PeerName;
 use repeats::message::{Fact, Want, Word};
-use repeats::{Cap, CapOptions, Input, RIGHT};
+use repeats::{Cap, CapOptions, Input, ONE_TOKEN};
 
 use crate::coming::{CONTROL_BYTES, GATEWAYS, NODES, REQUESTS, SHARD_NODES};
 use crate::{Ask, MeasureError, Role, Row};
@@ -88,7 +88,7 @@
          inverse. Beyond 1 no gateway has a whole right by its even part; rights are kept in {} parts, whole ones are allowed.",
         free(),
         (f64::from(REQUESTS) * (GATEWAYS * SHARD_NODES) as f64 / NODES as f64).round(),
-        RIGHT
+        ONE_TOKEN
     );
     let row = |name, cost, points, budget, how: &str| Row {
         name,
@@ -193,7 +193,7 @@
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
     cap.handle(now, Input::Peers(peers.clone()), &mut out);
-    let want = Want { number: 1, shard: Some(0), amount: RIGHT, worth: 1.0, life: LIFE };
+    let want = Want { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
     let fact = Fact { shard: 0, seen: true, served: 0, bad: 8 };
     let body = peer::wire::encode(&Word { wants: vec![want], facts: vec![fact], ..Word::default() });
     for from in peers.into_iter().skip(1) {
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 use crate::account::Account;
 use crate::leases::LeaseBook;
-use crate::options::{CapOptions, Durations, InjectedFault, Overrides, RIGHT, TokenSource};
+use crate::options::{CapOptions, Durations, InjectedFault, ONE_TOKEN, Overrides, TokenSource};
 use crate::shard::ShardState;
 use crate::shard_cap::{RequestBackoff, ShardCap};
 use crate::sketch::RepeatSketch;
@@ -270,7 +270,7 @@
             Input::Renewed(life) => self.start_new_life(now, life),
             Input::Tick => {}
         }
-        let overassigned = !only_earns && self.fleet.available() / RIGHT < self.assigned;
+        let overassigned = !only_earns && self.fleet.available() / ONE_TOKEN < self.assigned;
         if overassigned {
             // Either the attempts of a batch were counted after their tokens had been reassigned, or
             // assigned tokens expired.
@@ -339,7 +339,7 @@
 
     /// A snapshot of each shard, followed by one of all shards together.
     pub fn look(&self, now: Micros) -> Vec<ShardLook> {
-        let whole_tokens = |amount: u64| amount as f64 / RIGHT as f64;
+        let whole_tokens = |amount: u64| amount as f64 / ONE_TOKEN as f64;
         let snapshot = |account: &Account, shard| {
             let (mut account, totals) = (account.clone(), account.totals());
             account.settle(now);
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use crate::cap::{Cap, Output};
 use crate::leases::LeaseBook;
-use crate::options::{RIGHT, SLICES_PER_WINDOW, TokenSource};
+use crate::options::{ONE_TOKEN, SLICES_PER_WINDOW, TokenSource};
 
 /// The most requests rejected with the same retry delay, so that a crowd of clients does not return
 /// together.
@@ -18,8 +18,8 @@
             return;
         }
         shard_cap.health.current_slice().retries += 1;
-        shard_cap.account.spend(now, RIGHT);
-        self.fleet.spend(now, RIGHT);
+        shard_cap.account.spend(now, ONE_TOKEN);
+        self.fleet.spend(now, ONE_TOKEN);
         // The scheduler has counted this attempt as well.
         shard_cap.allowed = shard_cap.allowed.map(|a| a.saturating_sub(1));
         if shard_cap.fleet_quota > 0 {
@@ -36,7 +36,7 @@
         }
         shard_cap.health.current_slice().served += 1;
         if self.overrides.token_source != TokenSource::BaseOnly {
-            let tokens = |share: f64| (share * RIGHT as f64).floor() as u64;
+            let tokens = |share: f64| (share * ONE_TOKEN as f64).floor() as u64;
             shard_cap.account.earn(now, tokens(shard_cap.share(&self.options)));
             self.fleet.earn(now, tokens(self.options.fleet_share));
         }
@@ -49,7 +49,7 @@
             shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
             shard_cap.notified_at = Micros::MIN;
         }
-        if shard_cap.own_tokens() > 0 && self.fleet.available() >= RIGHT {
+        if shard_cap.own_tokens() > 0 && self.fleet.available() >= ONE_TOKEN {
             shard_cap.not_told += 1;
         }
         // A request without the time left for a lease to arrive is rejected in any case, so it adds no
--- a/crates/repeats/src/fleet_quota.rs
+++ b/crates/repeats/src/fleet_quota.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::cap::Cap;
-use crate::options::RIGHT;
+use crate::options::ONE_TOKEN;
 use crate::shard_cap::ShardCap;
 
 /// Tokens assigned to a shard beyond its need, so that it seldom has to be assigned more.
@@ -37,7 +37,7 @@
 
     /// Whole fleet-wide tokens that are not assigned to any shard.
     fn unassigned(&self) -> u64 {
-        (self.fleet.available() / RIGHT).saturating_sub(self.assigned)
+        (self.fleet.available() / ONE_TOKEN).saturating_sub(self.assigned)
     }
 
     /// Assigns a shard at most `max_tokens` more tokens.
--- a/crates/repeats/src/leases.rs
+++ b/crates/repeats/src/leases.rs
@@ -19,7 +19,7 @@
 use crate::Micros;
 use crate::account::Account;
 use crate::message::{Grant, Want};
-use crate::options::{Durations, InjectedFault, RIGHT};
+use crate::options::{Durations, InjectedFault, ONE_TOKEN};
 
 /// The most requests whose grants are still accepted; older ones are forgotten.
 const MAX_PENDING_REQUESTS: usize = 64;
@@ -174,6 +174,6 @@
     /// The amount to request for `need` whole tokens with `left` thousandths available. A fraction of a
     /// token is requested as well, as the rest of it may be spread over several gateways.
     pub fn amount_needed(need: u64, left: u64) -> u64 {
-        (need * RIGHT).saturating_sub(left)
+        (need * ONE_TOKEN).saturating_sub(left)
     }
 }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -44,8 +44,8 @@
 pub use key::{key_of, key_of_host};
 pub use message::KIND;
 pub use options::{
-    CapOptions, Durations, InjectedFault, OptionsError, Overrides, RECOVERING_FREE_PART, RESERVED_PART,
-    RIGHT, TokenSource,
+    CapOptions, Durations, InjectedFault, ONE_TOKEN, OptionsError, Overrides, RECOVERING_FREE_PART,
+    RESERVED_PART, TokenSource,
 };
 pub use shard::ShardState;
 pub use snapshot::{Counts, ShardLook};
--- a/crates/repeats/src/messaging.rs
+++ b/crates/repeats/src/messaging.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use crate::cap::{Cap, Output};
 use crate::message::{Grant, Want, Word};
-use crate::options::{InjectedFault, RESERVED_PART, RIGHT, TokenSource};
+use crate::options::{InjectedFault, ONE_TOKEN, RESERVED_PART, TokenSource};
 
 /// Number of peers that receive each lease request.
 const PEERS_PER_REQUEST: usize = 3;
@@ -168,7 +168,7 @@
             return None;
         }
         let base_tokens = self.options.base_tokens(free, self.options.members);
-        let retained = (base_tokens as f64 * RESERVED_PART).ceil() as u64 + need * RIGHT;
+        let retained = (base_tokens as f64 * RESERVED_PART).ceil() as u64 + need * ONE_TOKEN;
         let max_amount = (account.leasable(now, retained) as f64 * fraction / 2.0) as u64;
         if max_amount < MIN_LEASE {
             return None;
--- a/crates/repeats/src/options.rs
+++ b/crates/repeats/src/options.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 
 /// One token pays for one retry; accounts count in thousandths of it.
-pub const RIGHT: u64 = 1_000;
+pub const ONE_TOKEN: u64 = 1_000;
 /// The part of `free` that remains while a node of the shard recovers; each gateway has its base tokens
 /// of that.
 pub const RECOVERING_FREE_PART: f64 = 0.25;
@@ -135,7 +135,7 @@
 
     /// A gateway's base tokens of `free` retries, in thousandths, rounded down.
     pub(crate) fn base_tokens(&self, free: f64, members: usize) -> u64 {
-        (free.max(0.0) * RIGHT as f64 / members.max(1) as f64).floor() as u64
+        (free.max(0.0) * ONE_TOKEN as f64 / members.max(1) as f64).floor() as u64
     }
 }
 
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use crate::account::Account;
 use crate::cap::Allowance;
-use crate::options::{CapOptions, Durations, RECOVERING_FREE_PART, RIGHT, SLICES_PER_WINDOW};
+use crate::options::{CapOptions, Durations, ONE_TOKEN, RECOVERING_FREE_PART, SLICES_PER_WINDOW};
 use crate::shard::{ShardHealth, ShardState};
 
 /// Requests that may wait for a token of a shard while tokens may arrive at any moment.
@@ -123,7 +123,7 @@
 
     /// Whole tokens of the shard's own account.
     pub(crate) fn own_tokens(&self) -> u32 {
-        u32::try_from(self.account.available() / RIGHT).unwrap_or(u32::MAX)
+        u32::try_from(self.account.available() / ONE_TOKEN).unwrap_or(u32::MAX)
     }
 
     /// Requests that may wait for a token while the scheduler has none.
--- a/crates/repeats/tests/accounts.rs
+++ b/crates/repeats/tests/accounts.rs
@@ -6,7 +6,7 @@
 use repeats::account::Account;
 use repeats::leases::{GrantRejected, LeaseBook};
 use repeats::message::{Grant, Want};
-use repeats::{CapOptions, InjectedFault, Micros, RIGHT};
+use repeats::{CapOptions, InjectedFault, Micros, ONE_TOKEN};
 
 const WINDOW: Micros = 64_000;
 const BASE: u64 = 2;
@@ -46,7 +46,7 @@
             name: PeerName(format!("g{i}")),
             rate,
             life: 1,
-            account: Account::new(options().durations(), BASE * RIGHT, 0),
+            account: Account::new(options().durations(), BASE * ONE_TOKEN, 0),
             leases: LeaseBook::new(options().durations(), life(1), 3, fault),
         });
         let gateways = gateways.collect();
@@ -71,8 +71,8 @@
         let now = self.clock(gateway);
         let account = &mut self.gateways[gateway].account;
         account.settle(now);
-        if account.available() >= RIGHT {
-            account.spend(now, RIGHT);
+        if account.available() >= ONE_TOKEN {
+            account.spend(now, ONE_TOKEN);
             self.uses.push(self.now);
         }
     }
@@ -80,7 +80,7 @@
     fn serve(&mut self, gateway: usize) {
         let now = self.clock(gateway);
         // A tenth of a token each.
-        self.gateways[gateway].account.earn(now, RIGHT / 10);
+        self.gateways[gateway].account.earn(now, ONE_TOKEN / 10);
         self.served.push(self.now);
     }
 
@@ -88,7 +88,8 @@
         let now = self.clock(gateway);
         if gateway != lender {
             let name = self.gateways[lender].name.clone();
-            let want = self.gateways[gateway].leases.create_request(now, Some(0), 2 * RIGHT, 1.0, &[name]);
+            let want =
+                self.gateways[gateway].leases.create_request(now, Some(0), 2 * ONE_TOKEN, 1.0, &[name]);
             self.wants.push((gateway, lender, want));
         }
     }
@@ -102,7 +103,7 @@
         let (now, name) = (self.clock(to), self.gateways[from].name.clone());
         let gateway = &mut self.gateways[to];
         if gateway.leases.is_new_request(&name, &want) {
-            let grant = gateway.leases.grant_lease(now, &want, 2 * RIGHT, 0, false, &mut gateway.account);
+            let grant = gateway.leases.grant_lease(now, &want, 2 * ONE_TOKEN, 0, false, &mut gateway.account);
             self.grants.extend(grant.map(|g| (to, from, g)));
         }
     }
@@ -126,10 +127,10 @@
         gateway.account = match fault {
             Some(InjectedFault::NewLifeStartsFull) => {
                 let mut account = Account::new(options().durations(), 0, now);
-                account.set_base(BASE * RIGHT);
+                account.set_base(BASE * ONE_TOKEN);
                 account
             }
-            _ => Account::new(options().durations(), BASE * RIGHT, now),
+            _ => Account::new(options().durations(), BASE * ONE_TOKEN, now),
         };
         gateway.leases = LeaseBook::new(options().durations(), life(gateway.life), 3, fault);
     }
@@ -222,7 +223,7 @@
     let mut fleet = Fleet::new(&[100, 100], fault);
     let durations = CapOptions { drift: 0.0, ..options() }.durations();
     for gateway in &mut fleet.gateways {
-        gateway.account = Account::new(durations, BASE * RIGHT, 0);
+        gateway.account = Account::new(durations, BASE * ONE_TOKEN, 0);
         gateway.leases = LeaseBook::new(durations, life(1), 3, fault);
     }
     fleet.request_lease(0, 1);
@@ -279,18 +280,18 @@
     let accept =
         |gateway: &mut Gateway, now| gateway.leases.accept_grant(now, &name, &grant, &mut gateway.account);
     let mut late = LeaseBook::new(options().durations(), life(1), 3, None);
-    late.create_request(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
+    late.create_request(now, Some(0), ONE_TOKEN, 1.0, std::slice::from_ref(&name));
     let mut account = Account::new(options().durations(), 0, 0);
     assert_eq!(late.accept_grant(now + WINDOW / 8, &name, &grant, &mut account), Err(GrantRejected::Late));
-    assert_eq!(accept(&mut fleet.gateways[0], now), Ok(2 * RIGHT));
+    assert_eq!(accept(&mut fleet.gateways[0], now), Ok(2 * ONE_TOKEN));
     assert_eq!(accept(&mut fleet.gateways[0], now), Err(GrantRejected::NotRequested));
     let overstated = Grant { parts: vec![(u64::MAX, Micros::MAX); 3], ..grant.clone() };
     let mut asker = LeaseBook::new(options().durations(), life(1), 3, None);
-    asker.create_request(now, Some(0), RIGHT, 1.0, std::slice::from_ref(&name));
+    asker.create_request(now, Some(0), ONE_TOKEN, 1.0, std::slice::from_ref(&name));
     let overstated = Grant { number: 1, ..overstated };
     assert_eq!(
         asker.accept_grant(now, &name, &overstated, &mut account),
-        Ok(RIGHT),
+        Ok(ONE_TOKEN),
         "no more than was requested"
     );
     fleet.restart(0);
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -5,7 +5,7 @@
 
 use peer::{Incarnation, Life, Nonce, PeerName};
 use repeats::message::{Grant, Word};
-use repeats::{Allowances, Cap, CapOptions, Input, Micros, Output, RIGHT};
+use repeats::{Allowances, Cap, CapOptions, Input, Micros, ONE_TOKEN, Output};
 
 const SECOND: Micros = 1_000_000;
 const LIFE: Life = Life { incarnation: Incarnation(1), nonce: Nonce(1) };
@@ -219,7 +219,7 @@
     let grant = Grant {
         number: want.number,
         shard: Some(1),
-        parts: vec![(2 * RIGHT, 125_000)],
+        parts: vec![(2 * ONE_TOKEN, 125_000)],
         life: want.life,
         recovering: false,
     };
--- a/crates/repeats/tests/model.rs
+++ b/crates/repeats/tests/model.rs
@@ -5,11 +5,11 @@
 use repeats::account::Account;
 use repeats::leases::LeaseBook;
 use repeats::message::{Grant, Want};
-use repeats::{CapOptions, InjectedFault, Micros, RIGHT};
+use repeats::{CapOptions, InjectedFault, Micros, ONE_TOKEN};
 use stateright::{Checker, Model, Property};
 
 const WINDOW: Micros = 64_000;
-const BASE: u64 = RIGHT;
+const BASE: u64 = ONE_TOKEN;
 
 fn life(n: u64) -> Life {
     Life { incarnation: Incarnation(n), nonce: Nonce(n) }
@@ -89,7 +89,7 @@
             possible.push(ModelAction::Time);
         }
         for gateway in 0..2 {
-            if state.gateways[gateway].0.available() >= RIGHT {
+            if state.gateways[gateway].0.available() >= ONE_TOKEN {
                 possible.push(ModelAction::Use(gateway));
             }
             if state.remaining.0 > 0 {
@@ -118,13 +118,18 @@
                 state.gateways.iter_mut().for_each(|s| s.0.settle(now));
             }
             ModelAction::Use(gateway) => {
-                state.gateways[gateway].0.spend(now, RIGHT);
+                state.gateways[gateway].0.spend(now, ONE_TOKEN);
                 state.uses.push(now);
             }
             ModelAction::Ask(gateway) => {
                 state.remaining.0 -= 1;
-                let want =
-                    state.gateways[gateway].1.create_request(now, Some(0), RIGHT, 1.0, &[name(1 - gateway)]);
+                let want = state.gateways[gateway].1.create_request(
+                    now,
+                    Some(0),
+                    ONE_TOKEN,
+                    1.0,
+                    &[name(1 - gateway)],
+                );
                 state.wants.push((gateway, want.number, want.life));
             }
             ModelAction::Want(at, duplicate) => {
@@ -134,12 +139,12 @@
                 } else {
                     state.wants.remove(at);
                 }
-                let want = Want { number, shard: Some(0), amount: RIGHT, worth: 1.0, life };
+                let want = Want { number, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life };
                 let (account, leases, _) = &mut state.gateways[1 - from];
                 if leases.is_new_request(&name(from), &want) {
-                    state
-                        .grants
-                        .extend(leases.grant_lease(now, &want, RIGHT, 0, false, account).map(|g| (from, g)));
+                    state.grants.extend(
+                        leases.grant_lease(now, &want, ONE_TOKEN, 0, false, account).map(|g| (from, g)),
+                    );
                 }
             }
             ModelAction::Grant(at, duplicate) => {
@@ -178,7 +183,7 @@
             }),
             // Shows that tokens are leased at all.
             Property::sometimes("one gateway uses the base tokens of both", |_: &Accounts, state: &State| {
-                state.gateways.iter().any(|(account, _, _)| account.totals().spent >= 2 * RIGHT)
+                state.gateways.iter().any(|(account, _, _)| account.totals().spent >= 2 * ONE_TOKEN)
                     && state.time == 0
             }),
         ]
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -9,7 +9,7 @@
 use repeats::account::Account;
 use repeats::leases::LeaseBook;
 use repeats::message::{Fact, Word};
-use repeats::{Allowance, CapOptions, Input, Micros, Output, RECOVERING_FREE_PART, RIGHT};
+use repeats::{Allowance, CapOptions, Input, Micros, ONE_TOKEN, Output, RECOVERING_FREE_PART};
 
 use super::gateway::name;
 
@@ -42,7 +42,7 @@
         let mut even = BTreeMap::new();
         let shard_accounts = options.shards.iter().map(|&shard| {
             let steward = steward_of(shard, options.members);
-            let part = if steward == index { (options.free * RIGHT as f64) as u64 } else { 0 };
+            let part = if steward == index { (options.free * ONE_TOKEN as f64) as u64 } else { 0 };
             even.insert(shard, part);
             let account = Account::new(durations, part, now);
             (shard, ShardAccount { steward, account, need: 0, recovers: false, served: 0, allowed: None })
@@ -59,7 +59,7 @@
         match input {
             Input::Sent { shard, further: true } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
-                    shard_account.account.spend(now, RIGHT);
+                    shard_account.account.spend(now, ONE_TOKEN);
                     shard_account.need += 1;
                     shard_account.allowed = shard_account.allowed.map(|a| a.saturating_sub(1));
                 }
@@ -70,7 +70,7 @@
                     if shard_account.steward == self.index {
                         shard_account
                             .account
-                            .earn(now, (share(shard_account, &self.options) * RIGHT as f64) as u64);
+                            .earn(now, (share(shard_account, &self.options) * ONE_TOKEN as f64) as u64);
                     }
                 }
             }
@@ -98,7 +98,7 @@
                     };
                     let fact = word.facts.iter().find(|f| Some(f.shard) == want.shard);
                     let more = fact.map_or(0, |f| f.served);
-                    let each = (share(shard_account, &self.options) * RIGHT as f64) as u64;
+                    let each = (share(shard_account, &self.options) * ONE_TOKEN as f64) as u64;
                     if shard_account.steward != self.index {
                         continue;
                     }
@@ -132,7 +132,7 @@
         }
         for (&shard, shard_account) in &mut self.shard_accounts {
             shard_account.account.settle(now);
-            let target = (shard_account.account.available() / RIGHT) as u32;
+            let target = (shard_account.account.available() / ONE_TOKEN) as u32;
             if shard_account.allowed != Some(target) {
                 shard_account.allowed = Some(target);
                 let come_back = self.options.warming;
