--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -2,7 +2,7 @@
 
 use peer::PeerName;
 use repeats::message::{Fact, Want, Word};
-use repeats::{Cap, CapOptions, Input, RIGHT};
+use repeats::{Cap, CapOptions, Input, ONE_TOKEN};
 
 use crate::coming::{CONTROL_BYTES, GATEWAYS, NODES, REQUESTS, SHARD_NODES};
 use crate::{Ask, MeasureError, Role, Row};
@@ -44,11 +44,11 @@
 /// Gateways that have one whole right of the even part between them, with as many free sends as one shard bears.
 fn for_one_right(members: usize, seed: u64) -> f64 {
     let options = CapOptions { free: free(), ..options(0, members, 1) };
-    let terms = options.terms();
+    let durations = options.durations();
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let (mut now, mut out) = (0, Vec::new());
-    while now <= 2 * terms.empty() {
-        now += terms.step;
+    while now <= 2 * durations.empty_period() {
+        now += durations.step;
         cap.handle(now, Input::Tick, &mut out);
     }
     let left = cap.look(now).first().map_or(0.0, |look| look.left);
@@ -88,7 +88,7 @@
          inverse. Beyond 1 no gateway has a whole right by its even part; rights are kept in {} parts, whole ones are allowed.",
         free(),
         (f64::from(REQUESTS) * (GATEWAYS * SHARD_NODES) as f64 / NODES as f64).round(),
-        RIGHT
+        ONE_TOKEN
     );
     let row = |name, cost, points, budget, how: &str| Row {
         name,
@@ -188,12 +188,12 @@
 /// A cap of 30 shards that every peer has told of one shard in trouble and asked for rights to it.
 pub(super) fn heard_from_all(members: usize, seed: u64) -> Cap {
     let options = options(0, members, FEW_SHARDS);
-    let now = 2 * options.terms().empty();
+    let now = 2 * options.durations().empty_period();
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
     cap.handle(now, Input::Peers(peers.clone()), &mut out);
-    let want = Want { number: 1, shard: Some(0), amount: RIGHT, worth: 1.0, life: LIFE };
+    let want = Want { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
     let fact = Fact { shard: 0, seen: true, served: 0, bad: 8 };
     let body = peer::wire::encode(&Word { wants: vec![want], facts: vec![fact], ..Word::default() });
     for from in peers.into_iter().skip(1) {
