--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection, as the engine and its reader share it.
+//! A client connection, shared by the engine and the coroutine that reads from it.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -22,8 +22,8 @@
         self.session.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Answers a command. The status is cut to what the host asked to be told. The answer goes out with the next flush;
-    /// whether one is due.
+    /// Queues the completion of a command, with its status reduced to what the host supports. It goes out
+    /// with the next flush. Returns whether a flush is needed.
     pub(crate) fn complete(&self, cid: u16, mut completion: Completion, target: &Mutex<Target>) -> bool {
         let mut session = self.session();
         if !completion.status.is_success() {
--- a/crates/gateway/src/drains.rs
+++ b/crates/gateway/src/drains.rs
@@ -6,15 +6,15 @@
 use planelink::Followed;
 use serde::Deserialize;
 
-/// What an entry says of a node, as far as it concerns a gateway; later versions may say more.
+/// The part of a node's entry that concerns a gateway; later versions may contain more.
 #[derive(Deserialize)]
 struct NodeValue {
-    /// Whether the node takes work; nothing is meant without it.
+    /// Whether the node accepts work; an entry without it says nothing.
     #[serde(default)]
     state: Option<NodeOrder>,
 }
 
-/// Whether a node takes work.
+/// Whether a node accepts work.
 #[derive(Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum NodeOrder {
@@ -22,23 +22,23 @@
     Draining,
 }
 
-/// Nodes that entries drain, each with the regions that say so. It follows from the entries alone, so that it is the same after
-/// a start from the disk.
+/// The nodes drained by entries, each with the regions whose entries drain it. This follows from the entries
+/// alone, so it is the same after a restart from disk.
 #[derive(Default)]
-pub(crate) struct Drains {
+pub(crate) struct DrainedNodes {
     by_node: BTreeMap<Box<str>, BTreeSet<Region>>,
-    /// Values that could not be read; of the first it is told.
-    unread: u64,
+    /// Entries whose value could not be read; only the first is logged.
+    unreadable_values: u64,
 }
 
-impl Drains {
-    /// The nodes, by name.
+impl DrainedNodes {
+    /// The names of the drained nodes.
     pub(crate) fn nodes(&self) -> BTreeSet<String> {
         self.by_node.keys().map(|name| name.to_string()).collect()
     }
 
-    /// Takes what is in force; whether other nodes drain now.
-    pub(crate) fn take(&mut self, followed: &Followed) -> bool {
+    /// Applies a change of the entries in force. Returns whether the set of drained nodes changed.
+    pub(crate) fn apply(&mut self, followed: &Followed) -> bool {
         let (gone, entries) = match followed {
             Followed::Restored { entries, .. } | Followed::Changed { changed: entries, .. } => {
                 (&[][..], entries)
@@ -46,49 +46,49 @@
             Followed::Whole { entries, gone, .. } => (&gone[..], entries),
             Followed::Level(_) | Followed::TurnedAway { .. } => return false,
         };
-        let mut others = false;
-        gone.iter().for_each(|entry| others |= self.forget(&entry.key));
-        entries.iter().for_each(|entry| others |= self.put(entry));
-        others
+        let mut changed = false;
+        gone.iter().for_each(|entry| changed |= self.remove(&entry.key));
+        entries.iter().for_each(|entry| changed |= self.apply_entry(entry));
+        changed
     }
 
-    /// Takes an entry, a deletion among them; whether another node or none drains now.
-    fn put(&mut self, entry: &Entry) -> bool {
+    /// Applies an entry, which may be a deletion. Returns whether the set of drained nodes changed.
+    fn apply_entry(&mut self, entry: &Entry) -> bool {
         if entry.key.kind != Kind::Node {
             return false;
         }
         match &entry.value {
-            Some(value) if self.drains(&entry.key, value) => {
+            Some(value) if self.is_draining(&entry.key, value) => {
                 let regions = self.by_node.entry(entry.key.name.clone()).or_default();
-                let first = regions.is_empty();
+                let is_first = regions.is_empty();
                 regions.insert(entry.key.owner);
-                first
+                is_first
             }
-            _ => self.forget(&entry.key),
+            _ => self.remove(&entry.key),
         }
     }
 
-    fn forget(&mut self, key: &Key) -> bool {
+    fn remove(&mut self, key: &Key) -> bool {
         let Some(regions) = self.by_node.get_mut(&key.name).filter(|_| key.kind == Kind::Node) else {
             return false;
         };
         regions.remove(&key.owner);
-        let none = regions.is_empty();
-        if none {
+        let is_last = regions.is_empty();
+        if is_last {
             self.by_node.remove(&key.name);
         }
-        none
+        is_last
     }
 
-    /// Danger: a value that nobody here can read would drain a node, or hide from operators that it does not. Harm: none; it drains
-    /// nothing, and the log says so once.
-    fn drains(&mut self, key: &Key, value: &[u8]) -> bool {
+    /// Whether an entry drains its node. An unreadable value must neither drain a node nor hide from
+    /// operators that it has no effect, so it drains nothing and is logged once.
+    fn is_draining(&mut self, key: &Key, value: &[u8]) -> bool {
         match serde_json::from_slice::<NodeValue>(value) {
-            Ok(said) => said.state == Some(NodeOrder::Draining),
+            Ok(node) => node.state == Some(NodeOrder::Draining),
             Err(error) => {
-                self.unread += 1;
-                if self.unread == 1 {
-                    tracing::warn!(%key, %error, "an entry of a node cannot be read, and drains nothing");
+                self.unreadable_values += 1;
+                if self.unreadable_values == 1 {
+                    tracing::warn!(%key, %error, "cannot read a node's entry; it drains nothing");
                 }
                 false
             }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,14 +1,14 @@
-//! The engine: the one coroutine that owns the core.
+//! The engine: the single coroutine that owns the core and processes all messages.
 
 mod attempts;
 mod commands;
-mod company;
 mod control;
-mod fleet;
-mod following;
-mod look;
-mod orders;
+mod control_plane;
+mod coordination;
+mod node_list;
+mod peers;
 mod shadow;
+mod status;
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -24,28 +24,28 @@
 use recovery::InHand;
 use storage_core::{Core, Effect, Micros, Ticket};
 
-use crate::company::Company;
 use crate::connection::{Connection, ConnectionId};
-use crate::following::Following;
-use crate::front::Front;
-use crate::link::Link;
+use crate::control_plane::ControlPlane;
+use crate::coordination::Coordination;
+use crate::front_end::FrontEnd;
 use crate::message::{Inbox, Message};
+use crate::node_connection::NodeConnection;
 use crate::options::GatewayOptions;
-use crate::returning::Returning;
-use crate::rights::Asked;
-use crate::together::Together;
-use crate::trial::Trial;
+use crate::peer_network::PeerNetwork;
+use crate::recovery_driver::RecoveryDriver;
+use crate::retry_cap::RetryIdentity;
+use crate::shadow_trial::ShadowTrial;
 use transport::Outlet;
 use transport::Ticker;
 
-/// Messages handled with one reading of the clock.
-const MESSAGES: usize = 2048;
-/// Commands taken with one reading of the clock, by turns of the hosts.
-const COMMANDS: usize = 256;
-/// What a host may use in a turn, in blocks of 4 KiB.
-const QUANTUM: u64 = 32;
-/// How often associations and links are held against their time-outs.
-const HOUSEKEEPING: Micros = 50_000;
+/// Messages handled per reading of the clock.
+const MESSAGES_PER_BATCH: usize = 2048;
+/// Commands dispatched per reading of the clock, in round-robin order of the hosts.
+const COMMANDS_PER_BATCH: usize = 256;
+/// A host's quantum in each round of the round robin, in blocks of 4 KiB.
+const HOST_QUANTUM_BLOCKS: u64 = 32;
+/// Interval at which associations and node connections are checked against their timeouts.
+const HOUSEKEEPING_INTERVAL: Micros = 50_000;
 
 struct Client {
     connection: Arc<Connection>,
@@ -54,167 +54,168 @@
     tickets: HashMap<u16, Ticket>,
 }
 
-/// A command that was taken.
-struct Taken {
+/// A command that the core has accepted.
+struct AcceptedCommand {
     connection: ConnectionId,
     cid: u16,
     bytes: u64,
-    /// What a Compare holds the data that was read against.
+    /// For a Compare: the data that the blocks read are compared with.
     expected: Option<Bytes>,
-    /// For the cap on repeats, where there is one.
-    asked: Option<Asked>,
+    /// Identifies the command to the retry cap, if one is configured.
+    identity: Option<RetryIdentity>,
 }
 
-/// What a gateway has by its site's tables.
+/// The optional subsystems, present as configured by the site file.
 #[derive(Default)]
-pub(crate) struct Parts {
-    pub(crate) company: Option<Company>,
-    pub(crate) returning: Option<Returning>,
-    pub(crate) together: Option<Together>,
-    pub(crate) following: Option<Following>,
+pub(crate) struct Subsystems {
+    pub(crate) peer_network: Option<PeerNetwork>,
+    pub(crate) recovery: Option<RecoveryDriver>,
+    pub(crate) coordination: Option<Coordination>,
+    pub(crate) control_plane: Option<ControlPlane>,
 }
 
 pub(crate) struct Engine {
     options: GatewayOptions,
     address: String,
     core: Core,
-    front: Arc<Front>,
+    front_end: Arc<FrontEnd>,
     inbox: Inbox,
     clients: HashMap<ConnectionId, Client>,
-    tickets: HashMap<Ticket, Taken>,
-    /// Commands that wait for their host's turn; none of them is taken yet.
-    turns: Turns<Arc<str>, (ConnectionId, IoCommand)>,
+    accepted: HashMap<Ticket, AcceptedCommand>,
+    /// Commands waiting for their host's turn; none of them has been submitted to the core.
+    host_queues: Turns<Arc<str>, (ConnectionId, IoCommand)>,
     next_ticket: u64,
-    links: HashMap<NodeId, Arc<Link>>,
+    node_connections: HashMap<NodeId, Arc<NodeConnection>>,
     effects: Vec<Effect>,
-    /// The operators' orders: their number, volumes held, everything paused.
+    /// The operators' orders in force: revision, volumes on hold, everything paused.
     revision: u64,
-    held: BTreeSet<u32>,
+    held_volumes: BTreeSet<u32>,
     paused: bool,
-    /// Outlets with something to write at the end of the batch.
-    dirty: Vec<Arc<Outlet>>,
+    /// Outlets with data to flush at the end of the batch.
+    dirty_outlets: Vec<Arc<Outlet>>,
     started: Micros,
     next_housekeeping: Micros,
-    stop_by: Option<Micros>,
-    company: Option<Company>,
-    returning: Option<Returning>,
-    together: Option<Together>,
-    /// Reads of places whose writes from before are to be settled.
-    settling: HashMap<Ticket, InHand>,
-    /// Starts of nodes as listed.
-    starts: HashMap<NodeId, Micros>,
-    /// States of nodes as listed and ordered, whatever the control plane drains.
-    ordered: HashMap<NodeId, NodeState>,
-    /// Nodes that the control plane drains, by name.
-    drains: BTreeSet<String>,
-    following: Option<Following>,
-    stopped: Vec<thread_mpsc::Sender<()>>,
+    stop_deadline: Option<Micros>,
+    peer_network: Option<PeerNetwork>,
+    recovery: Option<RecoveryDriver>,
+    coordination: Option<Coordination>,
+    /// Reads issued to settle writes that were in progress before the restart.
+    settling_reads: HashMap<Ticket, InHand>,
+    /// Start times of nodes as listed.
+    node_starts: HashMap<NodeId, Micros>,
+    /// States of nodes as listed and ordered, regardless of drains by the control plane.
+    ordered_states: HashMap<NodeId, NodeState>,
+    /// Names of nodes that the control plane drains.
+    control_plane_drains: BTreeSet<String>,
+    control_plane: Option<ControlPlane>,
+    stop_replies: Vec<thread_mpsc::Sender<()>>,
 }
 
 impl Engine {
     pub(crate) fn new(
         options: GatewayOptions,
         address: String,
-        front: Arc<Front>,
+        front_end: Arc<FrontEnd>,
         inbox: Inbox,
-        parts: Parts,
+        subsystems: Subsystems,
     ) -> Self {
-        let Parts { company, returning, together, following } = parts;
+        let Subsystems { peer_network, recovery, coordination, control_plane } = subsystems;
         let core = Core::new(options.catalogue.clone(), options.seed);
         Engine {
             core,
             address,
-            started: front.clock.now(),
-            front,
+            started: front_end.clock.now(),
+            front_end,
             inbox,
             clients: HashMap::new(),
-            tickets: HashMap::new(),
-            turns: Turns::new(QUANTUM),
+            accepted: HashMap::new(),
+            host_queues: Turns::new(HOST_QUANTUM_BLOCKS),
             next_ticket: 0,
-            links: HashMap::new(),
+            node_connections: HashMap::new(),
             effects: Vec::new(),
             revision: 0,
-            held: BTreeSet::new(),
+            held_volumes: BTreeSet::new(),
             paused: options.await_orders,
-            dirty: Vec::new(),
+            dirty_outlets: Vec::new(),
             next_housekeeping: 0,
-            stop_by: None,
-            company,
-            returning,
-            together,
-            settling: HashMap::new(),
-            starts: HashMap::new(),
-            ordered: HashMap::new(),
-            drains: BTreeSet::new(),
-            following,
-            stopped: Vec::new(),
+            stop_deadline: None,
+            peer_network,
+            recovery,
+            coordination,
+            settling_reads: HashMap::new(),
+            node_starts: HashMap::new(),
+            ordered_states: HashMap::new(),
+            control_plane_drains: BTreeSet::new(),
+            control_plane,
+            stop_replies: Vec::new(),
             options,
         }
     }
 
-    /// Runs until it was told to stop and owes nothing more. The ticker sends [`Message::Tick`] at the times set here.
+    /// Runs until a stop has been requested and no answer is outstanding. The ticker sends [`Message::Tick`]
+    /// at the times set here.
     pub(crate) fn run(mut self, messages: &Receiver<Message>, ticker: &Ticker) {
-        let clock: Clock = self.front.clock;
+        let clock: Clock = self.front_end.clock;
         let now = clock.now();
         let lines = std::mem::take(&mut self.options.nodes);
-        self.list(now, true, true, &lines);
-        // Orders from before are in force until later ones come.
-        if let Some(word) = self.returning.as_ref().map(|r| r.word().clone()) {
-            self.adopt(now, &word);
+        self.apply_node_list(now, true, true, &lines);
+        // Orders of the previous life stay in force until newer ones arrive.
+        if let Some(state) = self.recovery.as_ref().map(|r| r.own_orders().clone()) {
+            self.adopt_orders(now, &state);
         }
-        self.agree(now, true);
-        let mut told = Micros::MIN;
+        self.apply_view(now, true);
+        let mut ticker_due = Micros::MIN;
         loop {
             let now = clock.now();
-            self.refresh_rights(now);
+            self.refresh_retry_allowance(now);
             self.core.tick(now, &mut self.effects);
-            self.settle(now);
+            self.apply_effects(now);
             if now >= self.next_housekeeping {
                 self.housekeeping(now);
             }
-            if self.returning.as_ref().is_some_and(|r| now >= r.next_due()) {
-                self.return_with(now, |r, orders| r.tick(now, orders));
+            if self.recovery.as_ref().is_some_and(|r| now >= r.next_due()) {
+                self.with_recovery(now, |r, actions| r.tick(now, actions));
             }
-            self.together(now);
-            self.dirty.drain(..).for_each(|outlet| outlet.flush());
-            if self.may_leave(now) {
-                return self.leave();
+            self.run_coordination(now);
+            self.dirty_outlets.drain(..).for_each(|outlet| outlet.flush());
+            if self.may_exit(now) {
+                return self.finish();
             }
             let due = self.core.next_due().unwrap_or(Micros::MAX).min(self.next_housekeeping);
-            let due = due.min(self.returning.as_ref().map_or(Micros::MAX, Returning::next_due));
-            let due = due.min(self.together.as_ref().map_or(Micros::MAX, |t| t.next_due(now)));
-            if due != told {
+            let due = due.min(self.recovery.as_ref().map_or(Micros::MAX, RecoveryDriver::next_due));
+            let due = due.min(self.coordination.as_ref().map_or(Micros::MAX, |c| c.next_due(now)));
+            if due != ticker_due {
                 ticker.due(due);
-                told = due;
+                ticker_due = due;
             }
-            if self.turns.is_empty() {
+            if self.host_queues.is_empty() {
                 let Ok(first) = messages.recv() else { return };
                 let now = clock.now();
-                self.refresh_rights(now);
-                self.message(now, first);
+                self.refresh_retry_allowance(now);
+                self.handle_message(now, first);
             }
             let now = clock.now();
-            self.refresh_rights(now);
-            for _ in 1..MESSAGES {
+            self.refresh_retry_allowance(now);
+            for _ in 1..MESSAGES_PER_BATCH {
                 let Ok(next) = messages.try_recv() else { break };
-                self.message(now, next);
+                self.handle_message(now, next);
             }
-            for _ in 0..COMMANDS {
-                let Some((id, command)) = self.turns.pop() else { break };
-                self.command(now, id, command);
-                self.settle(now);
+            for _ in 0..COMMANDS_PER_BATCH {
+                let Some((id, command)) = self.host_queues.pop() else { break };
+                self.submit_command(now, id, command);
+                self.apply_effects(now);
             }
-            // Before the module's timers and the rest: what is decided goes out.
-            self.dirty.drain(..).for_each(|outlet| outlet.flush());
-            self.shade(now);
+            // Flush the answers before running the core's timers and everything else.
+            self.dirty_outlets.drain(..).for_each(|outlet| outlet.flush());
+            self.copy_answered_reads(now);
         }
     }
 
-    fn message(&mut self, now: Micros, message: Message) {
+    fn handle_message(&mut self, now: Micros, message: Message) {
         match message {
             Message::Tick => {}
-            Message::Kept { seqs, error } => self.kept(now, seqs, error),
-            Message::Peer(told) => self.heard(now, told),
+            Message::JournalSynced { sequences, error } => self.on_journal_synced(now, sequences, error),
+            Message::PeerEvent(event) => self.on_peer_event(now, event),
             Message::Opened(connection) => {
                 let (tickets, host) = (HashMap::new(), Arc::from(""));
                 let client = Client { admission: None, tickets, host, connection: connection.clone() };
@@ -225,106 +226,112 @@
                     (client.admission, client.host) = (Some(admission), host);
                 }
             }
-            Message::Evict(id) => self.evict(id, "another connection comes in its place"),
+            Message::Evict(id) => self.evict(id, "a newer connection takes its place"),
             Message::Command(id, command) => {
                 if let Some(client) = self.clients.get(&id) {
                     let cost = 1 + (command.data.len() as u64).max(u64::from(command.blocks) * 4096) / 4096;
-                    self.turns.push(client.host.clone(), cost, (id, command));
+                    self.host_queues.push(client.host.clone(), cost, (id, command));
                 }
             }
             Message::Abort { connection, cid, sqid, victim } => {
                 self.abort(now, connection, cid, sqid, victim);
             }
-            Message::Closed(id) => self.closed(now, id),
-            Message::AssociationEnded(cntlid) => self.association_ended(cntlid),
-            Message::Ended(attempt, end) if Trial::is_copy(attempt) => self.copied(now, attempt, &end),
-            Message::Ended(attempt, end) => self.over(now, attempt, end),
-            Message::Drains(nodes) => self.drained(now, nodes),
-            Message::Candidate(candidate) => self.try_instead(now, candidate.map(|c| *c)),
+            Message::Closed(id) => self.on_connection_closed(now, id),
+            Message::AssociationEnded(cntlid) => self.end_association(cntlid),
+            Message::AttemptEnded(attempt, end) if ShadowTrial::is_copy(attempt) => {
+                self.on_copy_ended(now, attempt, &end)
+            }
+            Message::AttemptEnded(attempt, end) => self.on_attempt_ended(now, attempt, end),
+            Message::DrainedNodes(nodes) => self.apply_drains(now, nodes),
+            Message::ReplaceCandidate(candidate) => self.replace_candidate(now, candidate.map(|c| *c)),
             Message::Control(request, reply) => {
-                let answer = self.control(now, request);
-                let _ = reply.send(answer); // Its asker may have gone.
+                let answer = self.handle_control_request(now, request);
+                let _ = reply.send(answer); // The requester may have gone.
             }
             Message::Stop(reply) => {
-                self.stop(now);
-                self.stopped.push(reply);
+                self.begin_stop(now);
+                self.stop_replies.push(reply);
             }
         }
-        self.settle(now);
+        self.apply_effects(now);
     }
 
     fn housekeeping(&mut self, now: Micros) {
-        self.next_housekeeping = now + HOUSEKEEPING;
-        let overdue = self.front.gate().overdue(now);
+        self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
+        let overdue = self.front_end.gate().overdue(now);
         overdue.into_iter().for_each(|id| self.evict(id, "it took longer than limits.way_up_ms"));
-        let expired = self.front.target().expire(now);
+        let expired = self.front_end.target().expire(now);
         for cntlid in expired {
             tracing::info!(cntlid, "a host was silent for its keep alive time-out");
-            self.association_ended(cntlid);
+            self.end_association(cntlid);
         }
         for node in self.core.forget_gone() {
-            self.ordered.remove(&node);
-            if let Some(link) = self.links.remove(&node) {
-                link.end();
+            self.ordered_states.remove(&node);
+            if let Some(connection) = self.node_connections.remove(&node) {
+                connection.close();
             }
         }
-        if self.returning.is_some() {
+        if self.recovery.is_some() {
             let views = self.core.node_views();
-            let up = |(id, link): (&NodeId, &Arc<Link>)| {
-                let view = views.get(id).filter(|_| link.phase() == "up")?;
-                Some((*id, (view.name.clone(), view.shard, self.starts.get(id).copied().unwrap_or(0))))
+            let up = |(id, connection): (&NodeId, &Arc<NodeConnection>)| {
+                let view = views.get(id).filter(|_| connection.phase() == "up")?;
+                Some((*id, (view.name.clone(), view.shard, self.node_starts.get(id).copied().unwrap_or(0))))
             };
-            let up = self.links.iter().filter_map(up).collect();
-            self.return_with(now, |r, orders| {
-                r.nodes(now, up, orders);
-                if let Some(work) = r.work() {
-                    work.tidy(now);
+            let up = self.node_connections.iter().filter_map(up).collect();
+            self.with_recovery(now, |r, actions| {
+                r.set_nodes_up(now, up, actions);
+                if let Some(journal) = r.journal() {
+                    journal.release_expired(now);
                 }
             });
         }
-        self.sights(now);
+        self.report_observations(now);
         let views = self.core.node_views();
-        self.links.retain(|id, link| {
-            link.watch();
-            let over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.out == 0);
-            if over {
-                link.end();
+        self.node_connections.retain(|id, connection| {
+            connection.check_timeouts();
+            let is_over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.out == 0);
+            if is_over {
+                connection.close();
             }
-            !over
+            !is_over
         });
     }
 
-    fn stop(&mut self, now: Micros) {
-        if self.stop_by.is_none() {
-            tracing::info!(open = self.core.open_operations(), "stopping: nothing new is taken");
-            self.stop_by = Some(now + self.options.stop_within.as_micros() as Micros);
-            self.front.closing.store(true, Ordering::Relaxed);
-            if let Some(together) = &mut self.together {
-                together.leave(now);
+    fn begin_stop(&mut self, now: Micros) {
+        if self.stop_deadline.is_none() {
+            tracing::info!(open = self.core.open_operations(), "stopping; no new requests are accepted");
+            self.stop_deadline = Some(now + self.options.stop_within.as_micros() as Micros);
+            self.front_end.closing.store(true, Ordering::Relaxed);
+            if let Some(coordination) = &mut self.coordination {
+                coordination.begin_leaving(now);
             }
         }
     }
 
-    /// Everything taken is answered, or the time to leave has come: what is still open then is answered by what is
-    /// known of it.
-    fn may_leave(&mut self, now: Micros) -> bool {
-        let Some(by) = self.stop_by else { return false };
-        if self.core.open_operations() > 0 && now >= by {
-            tracing::warn!(open = self.core.open_operations(), "time to leave: the rest is answered now");
+    /// Whether the engine may exit: every accepted request is answered, or the stop timeout has passed. In
+    /// the latter case requests still open are answered from what is known of them.
+    fn may_exit(&mut self, now: Micros) -> bool {
+        let Some(deadline) = self.stop_deadline else { return false };
+        if self.core.open_operations() > 0 && now >= deadline {
+            tracing::warn!(
+                open = self.core.open_operations(),
+                "stop timeout reached; answering all open requests now"
+            );
             self.core.end_all(now, &mut self.effects);
-            self.settle(now);
+            self.apply_effects(now);
         }
-        let says = now < by && self.together.as_ref().is_some_and(|t| t.is_saying(now));
-        self.core.open_operations() == 0 && self.turns.is_empty() && !says
+        let is_announcing =
+            now < deadline && self.coordination.as_ref().is_some_and(|c| c.is_announcing(now));
+        self.core.open_operations() == 0 && self.host_queues.is_empty() && !is_announcing
     }
 
-    fn leave(mut self) {
-        self.dirty.drain(..).for_each(|outlet| outlet.flush());
+    fn finish(mut self) {
+        self.dirty_outlets.drain(..).for_each(|outlet| outlet.flush());
         self.clients.values().for_each(|c| c.connection.outlet.finish());
-        self.links.values().for_each(|l| l.end());
-        tracing::info!("every request taken is answered");
-        for stopped in self.stopped.drain(..) {
-            let _ = stopped.send(()); // Its asker may have gone.
+        self.node_connections.values().for_each(|c| c.close());
+        tracing::info!("stopped; every accepted request has been answered");
+        for reply in self.stop_replies.drain(..) {
+            let _ = reply.send(()); // The requester may have gone.
         }
     }
 }
--- a/crates/gateway/src/engine/control.rs
+++ b/crates/gateway/src/engine/control.rs
@@ -1,4 +1,4 @@
-//! What operators ask and order.
+//! Requests and orders from operators on the control socket.
 
 use recovery::{NodeWord, Word};
 use storage_core::Micros;
@@ -8,78 +8,82 @@
 use crate::status::{ControlAnswer, ControlRequest};
 
 impl Engine {
-    pub(super) fn control(&mut self, now: Micros, request: ControlRequest) -> Result<ControlAnswer, String> {
+    pub(super) fn handle_control_request(
+        &mut self,
+        now: Micros,
+        request: ControlRequest,
+    ) -> Result<ControlAnswer, String> {
         match request {
             ControlRequest::Status => {
-                if let Some(trial) = self.together.as_mut().and_then(|t| t.trial.as_mut()) {
-                    trial.sum_up(now);
+                if let Some(trial) = self.coordination.as_mut().and_then(|c| c.trial.as_mut()) {
+                    trial.update_summary(now);
                 }
                 Ok(ControlAnswer::Status(Box::new(self.status(now))))
             }
             ControlRequest::Requests { most } => {
                 let views = self.core.open_views();
                 Ok(ControlAnswer::Requests(
-                    views.into_iter().take(most).map(|v| self.request(now, v)).collect(),
+                    views.into_iter().take(most).map(|v| self.request_status(now, v)).collect(),
                 ))
             }
             ControlRequest::Nodes { whole, lines } => {
-                self.list(now, whole, false, &lines);
-                self.settle(now);
+                self.apply_node_list(now, whole, false, &lines);
+                self.apply_effects(now);
                 Ok(ControlAnswer::Done(now))
             }
             ControlRequest::Orders { revision, lines, held, paused } => {
-                if let Some(returning) = &mut self.returning {
+                if let Some(recovery) = &mut self.recovery {
                     let node = |l: &NodeLine| NodeWord {
                         name: l.name.clone(),
                         shard: l.shard,
                         drained: l.state == NodeLineState::Draining,
                     };
-                    let word = Word {
+                    let state = Word {
                         orders: revision,
                         nodes: lines.iter().map(node).collect(),
                         held: held.clone(),
                         paused,
-                        ..returning.word().clone()
+                        ..recovery.own_orders().clone()
                     };
-                    returning.ordered(word)?;
+                    recovery.set_orders(state)?;
                 }
                 let volume = |name: &String| {
                     let mut volumes = self.options.catalogue.volumes();
                     volumes.find(|v| &v.name == name).map(|v| v.nsid)
                 };
                 (self.revision, self.paused) = (revision, paused);
-                self.held = held.iter().filter_map(volume).collect();
-                self.list(now, true, false, &lines);
-                self.settle(now);
+                self.held_volumes = held.iter().filter_map(volume).collect();
+                self.apply_node_list(now, true, false, &lines);
+                self.apply_effects(now);
                 Ok(ControlAnswer::Done(now))
             }
             ControlRequest::Recovery { hurry, release } => {
-                let Some(returning) = &self.returning else {
-                    return Err("this gateway has no [recovery]: it is open at once".into());
+                let Some(recovery) = &self.recovery else {
+                    return Err("this gateway has no [recovery] and serves from its start".into());
                 };
-                let shown = returning.show();
+                let progress = recovery.progress();
                 if let Some(number) = release
-                    && !shown.unsettled.iter().any(|k| k.number == number)
+                    && !progress.unsettled.iter().any(|k| k.number == number)
                 {
-                    return Err(format!("no write from before has the number {number}, or it is settled"));
+                    return Err(format!("no unsettled write has the number {number}"));
                 }
-                tracing::warn!(hurry, ?release, phase = ?shown.phase, "an operator forces the recovery");
-                self.return_with(now, |r, orders| {
+                tracing::warn!(hurry, ?release, phase = ?progress.phase, "recovery overridden by an operator");
+                self.with_recovery(now, |r, actions| {
                     if hurry {
-                        r.hurry(now, orders);
+                        r.stop_waiting(now, actions);
                     }
                     if let Some(number) = release {
-                        r.release(now, number, orders);
+                        r.release_key(now, number, actions);
                     }
                 });
                 Ok(ControlAnswer::Done(now))
             }
             ControlRequest::Ended => {
-                let ended = self.core.ended_views().map(|e| self.ended(e)).collect();
+                let ended = self.core.ended_views().map(|e| self.ended_status(e)).collect();
                 Ok(ControlAnswer::Ended(ended))
             }
             ControlRequest::Stop => {
-                self.stop(now);
+                self.begin_stop(now);
                 Ok(ControlAnswer::Done(now))
             }
         }
--- /dev/null
+++ b/crates/gateway/src/engine/node_list.rs
@@ -0,0 +1,136 @@
+//! The node list and the operators' orders in force.
+
+use std::collections::{BTreeSet, HashMap};
+
+use bytes::Bytes;
+use decisions::{NodeId, NodeState};
+use recovery::{Place, Word};
+use storage_core::{ListedNode, Micros, Opcode, Operation, Ticket};
+
+use super::Engine;
+use crate::node_connection::NodeConnection;
+use crate::options::NodeLine;
+use crate::recovery_driver::{EngineAction, RecoveryDriver};
+
+impl Engine {
+    pub(super) fn apply_node_list(&mut self, now: Micros, whole: bool, remembered: bool, lines: &[NodeLine]) {
+        let mut listed = Vec::with_capacity(lines.len());
+        for line in lines {
+            let node = self.core.node_id(&line.name);
+            let state = NodeState::from(line.state);
+            self.node_starts.insert(node, line.started);
+            self.ordered_states.insert(node, state);
+            if state != NodeState::Gone {
+                self.connect_node(node, line);
+            }
+            listed.push(ListedNode {
+                name: line.name.clone(),
+                zone: line.zone,
+                shard: line.shard,
+                state: effective_state(&self.control_plane_drains, &line.name, state),
+                started: {
+                    let listed = (line.started > 0).then_some(line.started);
+                    self.recovery.as_ref().map_or(listed, |r| r.effective_start(listed))
+                },
+            });
+        }
+        self.core.nodes(now, whole, remembered, &listed, &mut self.effects);
+    }
+
+    pub(super) fn with_recovery(
+        &mut self,
+        now: Micros,
+        act: impl FnOnce(&mut RecoveryDriver, &mut Vec<EngineAction>),
+    ) {
+        let Some(recovery) = &mut self.recovery else { return };
+        let mut actions = Vec::new();
+        act(recovery, &mut actions);
+        for action in actions {
+            match action {
+                EngineAction::AdoptOrders(state) => self.adopt_orders(now, &state),
+                EngineAction::TreatNodesAsCold => self.restate_nodes(now, |_| None),
+                EngineAction::ReadBack(write) => {
+                    self.next_ticket += 1;
+                    let ticket = Ticket(self.next_ticket);
+                    let Place { nsid, slba, blocks, .. } = write.place;
+                    self.settling_reads.insert(ticket, write);
+                    let read = Operation {
+                        ticket,
+                        opcode: Opcode::Read,
+                        nsid,
+                        slba,
+                        blocks,
+                        data: Bytes::new(),
+                        token: 0,
+                        retry: false,
+                        client: None,
+                    };
+                    self.core.submit(now, read, &mut self.effects);
+                }
+            }
+        }
+        self.apply_effects(now);
+    }
+
+    /// Applies orders received from a peer or read from this gateway's own disk: drained nodes, volumes on
+    /// hold, pause.
+    pub(super) fn adopt_orders(&mut self, now: Micros, state: &Word) {
+        let volume = |name: &String| {
+            let mut volumes = self.options.catalogue.volumes();
+            volumes.find(|v| &v.name == name).map(|v| v.nsid)
+        };
+        (self.revision, self.paused) = (state.orders, self.options.await_orders || state.paused);
+        self.held_volumes = state.held.iter().filter_map(volume).collect();
+        let drained: HashMap<&str, bool> = state.nodes.iter().map(|n| (n.name.as_str(), n.drained)).collect();
+        self.restate_nodes(now, |name| drained.get(name).copied());
+    }
+
+    /// Restates the node list with drains as given. Nodes for which `drained` returns `None` keep their
+    /// ordered state; only their effective start times may change.
+    pub(super) fn restate_nodes(&mut self, now: Micros, drained: impl Fn(&str) -> Option<bool>) {
+        let mut listed = Vec::new();
+        for (id, n) in self.core.node_views().iter().filter(|(_, n)| n.state != NodeState::Gone) {
+            let ordered = match drained(&n.name) {
+                Some(true) => NodeState::Draining,
+                Some(false) => NodeState::On,
+                None => self.ordered_states.get(id).copied().unwrap_or(n.state),
+            };
+            self.ordered_states.insert(*id, ordered);
+            listed.push(ListedNode {
+                name: n.name.clone(),
+                zone: n.zone,
+                shard: n.shard,
+                state: effective_state(&self.control_plane_drains, &n.name, ordered),
+                started: self.recovery.as_ref().map_or(n.started, |r| r.effective_start(n.started)),
+            });
+        }
+        self.core.nodes(now, false, false, &listed, &mut self.effects);
+    }
+
+    pub(super) fn connect_node(&mut self, node: NodeId, line: &NodeLine) {
+        if let Some(connection) = self.node_connections.get(&node) {
+            if connection.address == line.address {
+                return;
+            }
+            connection.close();
+        }
+        let host = format!("nqn.2026-12.crowbay:gateway:{}", self.options.name);
+        let mut host_id = [0; 16];
+        host_id[..8].copy_from_slice(&self.options.seed.to_le_bytes());
+        host_id[8] = 1;
+        let inbox = self.inbox.clone();
+        match NodeConnection::start(line.address, self.options.link.clone(), host, host_id, inbox) {
+            Ok(connection) => {
+                self.node_connections.insert(node, connection);
+            }
+            Err(error) => {
+                tracing::error!(node = line.name, %error, "cannot start a coroutine for a node connection")
+            }
+        }
+    }
+}
+
+/// A node's effective state: a drain by the control plane overrides a list entry of `On`.
+fn effective_state(drains: &BTreeSet<String>, node: &str, ordered: NodeState) -> NodeState {
+    if ordered == NodeState::On && drains.contains(node) { NodeState::Draining } else { ordered }
+}
--- a/crates/gateway/src/engine/shadow.rs
+++ b/crates/gateway/src/engine/shadow.rs
@@ -1,4 +1,5 @@
-//! The shadow's copies: sent behind the clients' answers, where cap and links bear them.
+//! Copies of reads for the shadow trial: sent after the clients' answers, where the retry cap and the node
+//! connections allow.
 
 use bytes::Bytes;
 use decisions::{Outcome, ShardId};
@@ -6,54 +7,62 @@
 use storage_core::{AttemptId, End, Micros, Opcode, Send};
 
 use super::Engine;
+use crate::coordination::Coordination;
+use crate::shadow_trial::{ReadCopy, ShadowTrial};
 use crate::status::ShadowStatus;
-use crate::together::Together;
-use crate::trial::{Copy, Trial};
 
 impl Engine {
-    /// The end of a copy.
-    pub(super) fn copied(&mut self, now: Micros, attempt: AttemptId, end: &End) {
-        if let Some(trial) = self.together.as_mut().and_then(|t| t.trial.as_mut()) {
-            trial.copied(now, attempt, end);
-            self.copies(now);
+    /// Handles the end of a copy.
+    pub(super) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+        if let Some(trial) = self.coordination.as_mut().and_then(|c| c.trial.as_mut()) {
+            trial.on_copy_ended(now, attempt, end);
+            self.send_copies(now);
         }
     }
 
-    /// The answers of the batch have gone out: their copies may.
-    pub(super) fn shade(&mut self, now: Micros) {
-        let Some(trial) = self.together.as_mut().and_then(|t| t.trial.as_mut()) else { return };
-        if !trial.has_answered() {
+    /// Starts copies of the reads answered in this batch, now that the answers have been flushed.
+    pub(super) fn copy_answered_reads(&mut self, now: Micros) {
+        let Some(trial) = self.coordination.as_mut().and_then(|c| c.trial.as_mut()) else { return };
+        if !trial.has_answered_reads() {
             return;
         }
         let views = self.core.node_views();
-        let waits = |id: &decisions::NodeId| self.core.look(*id).is_some_and(|l| l.waiting > 0);
-        let is_busy = !self.turns.is_empty() || views.keys().any(waits);
-        trial.copy(now, is_busy, |node| views.get(&node).map_or(String::new(), |v| v.name.clone()));
-        self.copies(now);
-        self.settle(now);
+        let has_waiting = |id: &decisions::NodeId| self.core.look(*id).is_some_and(|l| l.waiting > 0);
+        let is_busy = !self.host_queues.is_empty() || views.keys().any(has_waiting);
+        trial.copy_answered_reads(now, is_busy, |node| {
+            views.get(&node).map_or(String::new(), |v| v.name.clone())
+        });
+        self.send_copies(now);
+        self.apply_effects(now);
     }
 
-    /// Sends what the shadow wants sent, where the cap bears it; what cannot go at once does not go.
-    pub(super) fn copies(&mut self, now: Micros) {
+    /// Sends the copies that the shadow trial asked for, where the retry cap allows; a copy that cannot be
+    /// sent at once is dropped.
+    pub(super) fn send_copies(&mut self, now: Micros) {
         loop {
-            let Some(Together { trial: Some(trial), rights, .. }) = &mut self.together else { return };
+            let Some(Coordination { trial: Some(trial), retry_cap, .. }) = &mut self.coordination else {
+                return;
+            };
             for (attempt, node) in std::mem::take(&mut trial.to_forget) {
                 let id = self.core.node_id(&node);
-                if let Some(link) = self.links.get(&id) {
-                    link.forget(attempt);
+                if let Some(connection) = self.node_connections.get(&id) {
+                    connection.forget(attempt);
                 }
             }
             let copies = std::mem::take(&mut trial.to_send);
             if copies.is_empty() {
                 return;
             }
-            for Copy { attempt, node, shard, nsid, slba, blocks } in copies {
+            for ReadCopy { attempt, node, shard, nsid, slba, blocks } in copies {
                 let node = self.core.node_id(&node);
                 let size = self.options.catalogue.volume(nsid).map_or(0, |v| v.block_size);
-                let bears = rights.as_ref().is_none_or(|r| r.bears_copy(shard));
-                let link = self.links.get(&node).filter(|link| bears && link.phase() == "up");
-                let Some(link) = link else {
-                    trial.copied(now, attempt, &End::of(Outcome::NotSent));
+                let is_allowed = retry_cap.as_ref().is_none_or(|r| r.allows_copy(shard));
+                let connection = self
+                    .node_connections
+                    .get(&node)
+                    .filter(|connection| is_allowed && connection.phase() == "up");
+                let Some(connection) = connection else {
+                    trial.on_copy_ended(now, attempt, &End::of(Outcome::NotSent));
                     continue;
                 };
                 let send = Send {
@@ -67,36 +76,38 @@
                     data: Bytes::new(),
                     shard: ShardId(shard),
                     further: true,
-                    // Of its own: no client's and no other copy's.
+                    // A token of its own, shared with no client command and no other copy.
                     token: attempt.request.0 ^ self.options.seed,
                     keyed: false,
                 };
-                if let Some(rights) = rights {
-                    rights.copied(now, shard);
+                if let Some(retry_cap) = retry_cap {
+                    retry_cap.copy_sent(now, shard);
                 }
-                if let Some(end) = link.send(send, &mut self.dirty) {
-                    trial.copied(now, attempt, &end);
+                if let Some(end) = connection.send(send, &mut self.dirty_outlets) {
+                    trial.on_copy_ended(now, attempt, &end);
                 }
             }
         }
     }
 
-    /// Another candidate, or none, is to be tried.
-    pub(super) fn try_instead(&mut self, now: Micros, candidate: Option<ShadowOptions>) {
-        let Some(together) = &mut self.together else { return };
-        match together.try_instead(now, candidate) {
+    /// Replaces the candidate on trial, or ends the trial.
+    pub(super) fn replace_candidate(&mut self, now: Micros, candidate: Option<ShadowOptions>) {
+        let Some(coordination) = &mut self.coordination else { return };
+        match coordination.replace_candidate(now, candidate) {
             Ok(()) => {
-                let number = together.trial.as_ref().map_or(0, Trial::number);
-                tracing::info!(number, "this candidate is tried from now on; 0: none");
-                together.hold(now);
-                self.agree(now, true);
+                let number = coordination.trial.as_ref().map_or(0, ShadowTrial::number);
+                tracing::info!(number, "candidate on trial changed (0: none)");
+                coordination.announce(now);
+                self.apply_view(now, true);
+            }
+            Err(error) => {
+                tracing::error!(%error, "cannot start the candidate's trial; the previous one continues")
             }
-            Err(error) => tracing::error!(%error, "the candidate cannot be tried; the one before stays"),
         }
     }
 
-    /// What is known of the candidate, as it was shown last.
+    /// The latest summary of the candidate's trial.
     pub(super) fn shadow_status(&self) -> Option<ShadowStatus> {
-        self.together.as_ref()?.trial.as_ref()?.shown()
+        self.coordination.as_ref()?.trial.as_ref()?.summary()
     }
 }
--- a/crates/gateway/src/engine/look.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of it.
+//! The state of the gateway as shown on the control socket.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 use storage_core::{EndedView, Micros, OpenView};
 
 use super::Engine;
-use crate::returning::Returning;
+use crate::recovery_driver::RecoveryDriver;
 use crate::status::{EndedStatus, NodeStatus, RequestStatus, Status, VolumeStatus};
 
 impl Engine {
-    pub(super) fn request(&self, now: Micros, view: OpenView) -> RequestStatus {
+    pub(super) fn request_status(&self, now: Micros, view: OpenView) -> RequestStatus {
         let volume = self.options.catalogue.volume(view.nsid).map_or(String::new(), |v| v.name.clone());
         let nodes = self.core.node_views();
         RequestStatus {
@@ -24,45 +24,45 @@
         }
     }
 
-    pub(super) fn ended(&self, e: &EndedView) -> EndedStatus {
+    pub(super) fn ended_status(&self, operation: &EndedView) -> EndedStatus {
         EndedStatus {
-            at: e.at,
-            id: e.ticket.0,
-            volume: self.options.catalogue.volume(e.nsid).map_or(String::new(), |v| v.name.clone()),
-            op: e.opcode.word().to_owned(),
-            class: self.options.catalogue.rules[e.class].name.clone(),
-            refused: e.refused,
-            age: e.age,
-            attempts: e.attempts,
-            reason: e.reason().to_owned(),
+            at: operation.at,
+            id: operation.ticket.0,
+            volume: self.options.catalogue.volume(operation.nsid).map_or(String::new(), |v| v.name.clone()),
+            op: operation.opcode.word().to_owned(),
+            class: self.options.catalogue.rules[operation.class].name.clone(),
+            refused: operation.refused,
+            age: operation.age,
+            attempts: operation.attempts,
+            reason: operation.reason().to_owned(),
         }
     }
 
-    /// Requests that ended unserved, by class and cause.
-    fn causes(&self) -> BTreeMap<String, u64> {
+    /// Counts of requests that ended unserved, by class and cause.
+    fn unserved_causes(&self) -> BTreeMap<String, u64> {
         let rules = &self.options.catalogue.rules;
-        let named = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
-        self.core.causes().iter().map(|(key, count)| (named(key), *count)).collect()
+        let label = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
+        self.core.causes().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
     pub(super) fn status(&self, now: Micros) -> Status {
         let tally = self.core.tally();
         let nodes = self.core.node_views().iter().map(|(id, n)| {
-            let link = self.links.get(id);
-            let look = self.core.look(*id);
+            let connection = self.node_connections.get(id);
+            let state = self.core.look(*id);
             NodeStatus {
-                bound: look.map_or(0.0, |l| l.bound),
-                l: look.map_or(0.0, |l| l.load),
-                waiting: look.map_or(0, |l| l.waiting),
-                silent: look.is_some_and(|l| l.silent),
-                cold: look.is_some_and(|l| l.cold),
+                bound: state.map_or(0.0, |l| l.bound),
+                l: state.map_or(0.0, |l| l.load),
+                waiting: state.map_or(0, |l| l.waiting),
+                silent: state.is_some_and(|l| l.silent),
+                cold: state.is_some_and(|l| l.cold),
                 name: n.name.clone(),
-                address: link.map_or(String::new(), |l| l.address.to_string()),
+                address: connection.map_or(String::new(), |c| c.address.to_string()),
                 zone: n.zone,
                 shard: n.shard,
                 state: n.state.into(),
                 started: n.started.unwrap_or(0),
-                link: link.map_or("none", |l| l.phase()).to_owned(),
+                link: connection.map_or("none", |c| c.phase()).to_owned(),
                 out: n.out,
                 sent: n.sent,
                 served: n.served,
@@ -74,29 +74,29 @@
         });
         let views = self.core.volume_views();
         let volumes = self.options.catalogue.volumes().map(|v| {
-            let seen = views.get(&v.nsid).cloned().unwrap_or_default();
+            let view = views.get(&v.nsid).cloned().unwrap_or_default();
             VolumeStatus {
                 name: v.name.clone(),
                 nsid: v.nsid,
-                open: seen.open,
-                taken: seen.taken,
-                served: seen.served,
-                refused: seen.refused,
-                failed: seen.failed,
-                units: seen.units,
+                open: view.open,
+                taken: view.taken,
+                served: view.served,
+                refused: view.refused,
+                failed: view.failed,
+                units: view.units,
             }
         });
-        let gate = self.front.gate();
-        let ((kept, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
-        let (hosts, away) = (gate.hosts(), gate.turned_away().iter());
-        let turned_away = away.map(|(over, n)| (over.to_string(), *n)).collect();
+        let gate = self.front_end.gate();
+        let ((connections, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
+        let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
+        let turned_away = refused.map(|(over, n)| (over.to_string(), *n)).collect();
         drop(gate);
         Status {
             name: self.options.name.clone(),
             pid: std::process::id(),
             revision: self.revision,
             held: self
-                .held
+                .held_volumes
                 .iter()
                 .filter_map(|n| self.options.catalogue.volume(*n))
                 .map(|v| v.name.clone())
@@ -105,13 +105,13 @@
             address: self.address.clone(),
             started: self.started,
             now,
-            stopping: self.stop_by.is_some(),
-            connections: kept,
+            stopping: self.stop_deadline.is_some(),
+            connections,
             rising,
             hosts,
             held_commands,
             held_bytes,
-            waiting_turn: self.turns.len(),
+            waiting_turn: self.host_queues.len(),
             turned_away,
             open: self.core.open_operations(),
             out: self.core.attempts_out(),
@@ -124,9 +124,9 @@
             sent: tally.sent,
             further: tally.further,
             late: tally.late,
-            causes: self.causes(),
+            causes: self.unserved_causes(),
             reasons: self.core.reasons().iter().map(|(k, n)| ((*k).to_owned(), *n)).collect(),
-            recovery: self.returning.as_ref().map(Returning::show),
+            recovery: self.recovery.as_ref().map(RecoveryDriver::progress),
             fleet: self.fleet_status(),
             repeats: self.repeats_status(now),
             shadow: self.shadow_status(),
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front_end.rs
@@ -1,4 +1,4 @@
-//! The front: clients' connections.
+//! The front end: client connections.
 
 use std::io::Read;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,25 +11,25 @@
 use records::Clock;
 
 use crate::connection::{Connection, ConnectionId};
-use crate::entry;
 use crate::message::{Inbox, Message};
+use crate::registration;
 use transport::Outlet;
 
 /// Bytes read at a time.
-const READ: usize = 32 * 1024;
+const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// What all connections have in common.
-pub(crate) struct Front {
+/// State shared by all client connections.
+pub(crate) struct FrontEnd {
     pub(crate) target: Mutex<Target>,
     pub(crate) clock: Clock,
     pub(crate) inbox: Inbox,
     pub(crate) gate: Mutex<Gate>,
-    pub(crate) spill: usize,
+    pub(crate) max_unsent_bytes: usize,
     pub(crate) digests: nvme::Digests,
     pub(crate) closing: AtomicBool,
 }
 
-impl Front {
+impl FrontEnd {
     pub(crate) fn target(&self) -> std::sync::MutexGuard<'_, Target> {
         self.target.lock().unwrap_or_else(|p| p.into_inner())
     }
@@ -38,16 +38,18 @@
         self.gate.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Accepts until the front closes.
+    /// Accepts connections until the gateway closes.
     pub(crate) fn accept(self: Arc<Self>, listener: &TcpListener) {
-        let mut next = 0;
+        let mut next_id = 0;
         while !self.closing.load(Ordering::Relaxed) {
             let (stream, from) = match listener.accept() {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    // Out of descriptors, most likely: those that are served go on, and some will close.
+                    // Most likely out of file descriptors: existing connections go on, and some of them will
+                    // close.
                     tracing::warn!(%error, "a connection could not be accepted");
-                    // A plain sleep holds up one of the threads for a moment; a timed wait might never end (ticker.rs).
+                    // A plain sleep blocks one of the threads briefly; a timed wait of the runtime might
+                    // never end (see `transport::Ticker`).
                     std::thread::sleep(std::time::Duration::from_millis(5));
                     continue;
                 }
@@ -55,42 +57,42 @@
             if self.closing.load(Ordering::Relaxed) {
                 return;
             }
-            next += 1;
-            let (front, id) = (self.clone(), ConnectionId(next));
+            next_id += 1;
+            let (front_end, id) = (self.clone(), ConnectionId(next_id));
             match self.gate().open(self.clock.now(), id, from.ip()) {
                 Opened::Kept => {}
                 Opened::InPlaceOf(other) => self.inbox.send(Message::Evict(other)),
-                Opened::Closed(over) => {
-                    tracing::warn!(%over, %from, "a connection is closed");
+                Opened::Closed(limit) => {
+                    tracing::warn!(over = %limit, %from, "a connection is closed");
                     continue;
                 }
             }
-            if let Err(error) = task::spawn("front", move || front.serve(stream, id)) {
+            if let Err(error) = task::spawn("front", move || front_end.serve(stream, id)) {
                 self.gate().close(id);
-                tracing::warn!(%error, "no coroutine for a connection");
+                tracing::warn!(%error, "cannot start a coroutine for a connection");
             }
         }
     }
 
     fn serve(self: Arc<Self>, mut stream: TcpStream, id: ConnectionId) {
-        let outlet = stream.set_nodelay(true).and_then(|()| Outlet::new(&stream, self.spill));
+        let outlet = stream.set_nodelay(true).and_then(|()| Outlet::new(&stream, self.max_unsent_bytes));
         match outlet {
-            Ok(outlet) => self.converse(&mut stream, id, Arc::new(outlet)),
-            Err(error) => tracing::warn!(%error, "a connection could not be set up"),
+            Ok(outlet) => self.run_session(&mut stream, id, Arc::new(outlet)),
+            Err(error) => tracing::warn!(%error, "cannot set up a connection"),
         }
         self.gate().close(id);
     }
 
-    fn converse(&self, stream: &mut TcpStream, id: ConnectionId, outlet: Arc<Outlet>) {
+    fn run_session(&self, stream: &mut TcpStream, id: ConnectionId, outlet: Arc<Outlet>) {
         let session = Session::new(&self.target(), self.digests);
         let connection = Arc::new(Connection::new(id, outlet, session));
-        let say = || self.inbox.send(Message::Opened(connection.clone()));
-        let mut goes_on = entry::enter(&self.gate, id, say);
-        let mut buffer = vec![0; READ].into_boxed_slice();
-        while goes_on {
+        let register_connection = || self.inbox.send(Message::Opened(connection.clone()));
+        let mut keep_open = registration::register(&self.gate, id, register_connection);
+        let mut buffer = vec![0; READ_BUFFER_BYTES].into_boxed_slice();
+        while keep_open {
             match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => break,
-                Ok(n) => goes_on = self.received(&connection, &buffer[..n]),
+                Ok(n) => keep_open = self.handle_received(&connection, &buffer[..n]),
             }
         }
         let mut outputs = Vec::new();
@@ -104,8 +106,8 @@
         connection.outlet.finish();
     }
 
-    /// Handles bytes of a connection; whether it goes on.
-    fn received(&self, connection: &Arc<Connection>, bytes: &[u8]) -> bool {
+    /// Handles received bytes of a connection. Returns whether to keep it open.
+    fn handle_received(&self, connection: &Arc<Connection>, bytes: &[u8]) -> bool {
         let (mut out, mut outputs) = (BytesMut::new(), Vec::new());
         {
             let mut session = connection.session();
@@ -114,7 +116,7 @@
         let mut answers = GatherList::new();
         answers.copy(&out);
         connection.outlet.push(answers);
-        let mut goes_on = true;
+        let mut keep_open = true;
         for output in outputs {
             match output {
                 Output::Command(command) => self.inbox.send(Message::Command(connection.id, command)),
@@ -123,19 +125,19 @@
                 }
                 Output::Bound(admission) => {
                     let host = self.target().host(admission.cntlid).unwrap_or_default().to_owned();
-                    // One that was let go has nobody to count it any more.
-                    goes_on &= self.gate().risen(connection.id, &host);
+                    // The gate no longer counts a connection that it has evicted.
+                    keep_open &= self.gate().risen(connection.id, &host);
                     self.inbox.send(Message::Bound(connection.id, admission, host.into()));
                 }
                 Output::Ended(cntlid) => self.inbox.send(Message::AssociationEnded(cntlid)),
                 Output::Close(reason) => {
                     if let Some(reason) = reason {
-                        tracing::info!(%reason, "a client's connection is terminated");
+                        tracing::info!(%reason, "terminating a client's connection");
                     }
-                    goes_on = false;
+                    keep_open = false;
                 }
             }
         }
-        goes_on
+        keep_open
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,52 +14,52 @@
 use nvme::{DiscoveryEntry, Target};
 use records::Clock;
 
-use crate::company::Company;
-use crate::engine::{Engine, Parts};
-use crate::following::Following;
-use crate::front::Front;
-use crate::membership::Snapshot;
+use crate::control_plane::ControlPlane;
+use crate::coordination::Coordination;
+use crate::engine::{Engine, Subsystems};
+use crate::front_end::FrontEnd;
+use crate::membership::ViewSnapshot;
 use crate::message::{Inbox, Message};
 use crate::options::GatewayOptions;
-use crate::returning::Returning;
+use crate::peer_network::PeerNetwork;
+use crate::recovery_driver::RecoveryDriver;
 use crate::status::{ControlAnswer, ControlRequest};
-use crate::together::Together;
 use transport::Ticker;
 
-/// Why a gateway did not start, or did not answer.
+/// Why a gateway did not start or did not answer.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// The address cannot be listened on.
+    /// Cannot listen on the address.
     #[error("cannot listen on {0}: {1}; is another process using it?")]
     Listen(SocketAddr, io::Error),
-    /// The control socket cannot be made.
-    #[error("cannot make the control socket {0}: {1}")]
+    /// Cannot create the control socket.
+    #[error("cannot create the control socket {0}: {1}")]
     Control(PathBuf, io::Error),
-    /// No coroutine could be started.
+    /// Cannot start a coroutine.
     #[error("cannot start a coroutine: {0}")]
     Start(io::Error),
-    /// Its peers.
+    /// Cannot start the peer network.
     #[error(transparent)]
     Peers(#[from] peerlink::StartError),
-    /// Its state of the control plane.
+    /// Cannot start following the control plane.
     #[error(transparent)]
     Plane(#[from] planelink::RunError),
-    /// Its journal of work in hand.
+    /// Cannot open the write journal.
     #[error(transparent)]
     Journal(#[from] filelog::LogError),
-    /// What it held before.
+    /// Cannot read the state kept by the previous life.
     #[error(transparent)]
     File(#[from] filelog::ReplaceError),
-    /// The candidate shard map.
+    /// The candidate shard map cannot be tried.
     #[error(transparent)]
     Candidate(#[from] shadow::CandidateError),
-    /// The file of orders from before holds something else.
-    #[error("{0} is whole but holds no orders; move it away to begin without them")]
+    /// The file of the previous life's orders contains something else.
+    #[error("{0} is intact but does not contain orders; move it away to start without them")]
     Word(PathBuf),
     /// The engine has ended.
     #[error("the gateway has stopped")]
     Stopped,
-    /// The request was turned down.
+    /// The request was refused.
     #[error("{0}")]
     TurnedDown(String),
 }
@@ -68,19 +68,20 @@
 pub struct Gateway {
     address: SocketAddr,
     peer_address: Option<SocketAddr>,
-    view: Option<Snapshot>,
+    view: Option<ViewSnapshot>,
     inbox: Inbox,
-    front: Arc<Front>,
+    front_end: Arc<FrontEnd>,
     control: Served,
     stop_within: Duration,
     ended: Mutex<Option<thread_mpsc::Receiver<()>>>,
 }
 
 impl Gateway {
-    /// Starts a gateway: it listens when this returns.
+    /// Starts a gateway; it is listening when this returns.
     ///
     /// # Errors
-    /// The address or the control socket cannot be had.
+    ///
+    /// The address or the control socket is not available, or part of the gateway cannot be started.
     pub fn start(mut options: GatewayOptions) -> Result<Gateway, GatewayError> {
         task::set_up();
         let listener =
@@ -91,12 +92,12 @@
             vec![DiscoveryEntry { subsystem, address: address.ip(), port: address.port() }];
         let (sender, messages) = may::sync::mpsc::channel();
         let inbox = Inbox(sender);
-        let front = Arc::new(Front {
+        let front_end = Arc::new(FrontEnd {
             target: Mutex::new(Target::new(options.target.clone())),
             clock: Clock::new(),
             inbox: inbox.clone(),
             gate: Mutex::new(Gate::new(options.gate.clone())),
-            spill: options.spill,
+            max_unsent_bytes: options.spill,
             digests: options.digests,
             closing: AtomicBool::new(false),
         });
@@ -107,90 +108,95 @@
         let (name, stop_within) = (options.name.clone(), options.stop_within);
         let ticks = inbox.clone();
         let ticker =
-            Ticker::start(front.clock, move || ticks.send(Message::Tick)).map_err(GatewayError::Start)?;
-        let mut parts = Parts::default();
-        if let Some(c) = options.company.take() {
-            let names = c.peers.peers.iter().map(|p| p.0.clone()).collect();
-            let folder = c.peers.folder.clone();
-            let peers = Company::start(c.peers, inbox.clone())?;
-            if let Some(r) = &c.returning {
-                let (catalogue, seed, now) = (&options.catalogue, options.seed, front.clock.now());
-                let company = (peers.clone(), names, folder.as_path());
-                parts.returning = Some(Returning::start(r, company, catalogue, seed, now, inbox.clone())?);
+            Ticker::start(front_end.clock, move || ticks.send(Message::Tick)).map_err(GatewayError::Start)?;
+        let mut subsystems = Subsystems::default();
+        if let Some(peering) = options.company.take() {
+            let names = peering.peers.peers.iter().map(|p| p.0.clone()).collect();
+            let folder = peering.peers.folder.clone();
+            let peer_network = PeerNetwork::start(peering.peers, inbox.clone())?;
+            if let Some(recovery) = &peering.returning {
+                let (catalogue, seed, now) = (&options.catalogue, options.seed, front_end.clock.now());
+                let network = (peer_network.clone(), names, folder.as_path());
+                subsystems.recovery =
+                    Some(RecoveryDriver::start(recovery, network, catalogue, seed, now, inbox.clone())?);
             }
-            if let Some(t) = c.together {
+            if let Some(coordination) = peering.together {
                 let volumes = options.target.namespaces.iter().map(|ns| ns.nsid).collect();
-                let (now, seed) = (front.clock.now(), options.seed);
-                parts.together = Some(Together::start(t, &peers, &folder, volumes, now, seed)?);
+                let (now, seed) = (front_end.clock.now(), options.seed);
+                subsystems.coordination =
+                    Some(Coordination::start(coordination, &peer_network, &folder, volumes, now, seed)?);
             }
-            parts.company = Some(peers);
+            subsystems.peer_network = Some(peer_network);
         }
         if let Some(plane) = options.plane.take() {
-            parts.following = Some(Following::start(plane, inbox.clone())?);
+            subsystems.control_plane = Some(ControlPlane::start(plane, inbox.clone())?);
         }
-        let peer_address = parts.company.as_ref().map(Company::address);
-        let view = parts.together.as_ref().map(|t| t.membership.snapshot());
-        let engine = Engine::new(options, address.to_string(), front.clone(), inbox.clone(), parts);
-        let (over, ended) = thread_mpsc::channel();
+        let peer_address = subsystems.peer_network.as_ref().map(PeerNetwork::address);
+        let view = subsystems.coordination.as_ref().map(|c| c.membership.snapshot());
+        let engine = Engine::new(options, address.to_string(), front_end.clone(), inbox.clone(), subsystems);
+        let (engine_alive, ended) = thread_mpsc::channel();
         task::spawn("engine", move || {
             engine.run(&messages, &ticker);
-            drop(over);
+            drop(engine_alive);
         })
         .map_err(GatewayError::Start)?;
-        let accepts = front.clone();
-        task::spawn("accept", move || accepts.accept(&listener)).map_err(GatewayError::Start)?;
+        let acceptor = front_end.clone();
+        task::spawn("accept", move || acceptor.accept(&listener)).map_err(GatewayError::Start)?;
         tracing::info!(name, %address, "gateway up");
         let ended = Mutex::new(Some(ended));
-        Ok(Gateway { address, peer_address, view, inbox, front, control, stop_within, ended })
+        Ok(Gateway { address, peer_address, view, inbox, front_end, control, stop_within, ended })
     }
 
-    /// Where it listens.
+    /// The address on which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where its peers connect, if it has any.
+    /// The address on which peers connect, if there are any.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.peer_address
     }
 
-    /// Tries another candidate from now on, or none; the same one goes on. Without `[fleet]` nothing is tried.
+    /// Replaces the candidate on trial, or ends the trial; a trial of the same candidate continues. Without
+    /// `[fleet]` there is no trial.
     pub fn try_candidate(&self, candidate: Option<shadow::ShadowOptions>) {
-        self.inbox.send(Message::Candidate(candidate.map(Box::new)));
+        self.inbox.send(Message::ReplaceCandidate(candidate.map(Box::new)));
     }
 
-    /// The fleet as this gateway sees it, if it holds a view. It asks nobody and waits for nothing.
+    /// The fleet as this gateway sees it, if it maintains a view. Never blocks.
     pub fn view(&self) -> Option<Arc<fleet::View>> {
         self.view.as_ref().map(|view| view.load_full())
     }
 
-    /// Asks the engine, as the control socket does.
+    /// Sends a request to the engine, as the control socket does.
     ///
     /// # Errors
-    /// The gateway has stopped, or turned the request down.
+    ///
+    /// The gateway has stopped, or refused the request.
     pub fn ask(&self, request: ControlRequest) -> Result<ControlAnswer, GatewayError> {
         ask(&self.inbox, request)
     }
 
-    /// Takes nothing new, answers everything, and ends; returns when that is done. Whether it was, in time.
+    /// Accepts nothing new, answers everything, and ends; returns when that is done. Returns whether it was
+    /// done in time.
     pub fn stop(&self) -> bool {
-        let (done, wait) = thread_mpsc::channel();
+        let (done, stopped) = thread_mpsc::channel();
         self.inbox.send(Message::Stop(done));
-        let stopped = wait.recv_timeout(self.stop_within + Duration::from_secs(2)).is_ok();
-        // The listener wakes from its wait and ends.
+        let in_time = stopped.recv_timeout(self.stop_within + Duration::from_secs(2)).is_ok();
+        // Wakes the listener, so that it ends.
         let _ = std::net::TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
-        // The last answers may still be on their way out of this process.
+        // The last answers may still be leaving this process.
         for _ in 0..100 {
-            if self.front.gate().connections().0 == 0 {
+            if self.front_end.gate().connections().0 == 0 {
                 break;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         self.control.settle(Duration::from_secs(1));
-        stopped
+        in_time
     }
 
-    /// Waits until the engine has ended, by a stop from anywhere.
+    /// Waits until the engine has ended, whoever stopped it.
     pub fn wait(&self) {
         let ended = self.ended.lock().unwrap_or_else(|p| p.into_inner()).take();
         if let Some(ended) = ended {
@@ -207,7 +213,7 @@
 }
 
 fn serve_control(path: &std::path::Path, inbox: Inbox) -> io::Result<Served> {
-    // A channel's sender may not be shared between threads as it is; each request clones it under the lock.
+    // The channel's sender cannot be shared between threads; each request clones it under the lock.
     let inbox = Mutex::new(inbox);
     control::serve(path, move |request: ControlRequest| {
         let inbox = inbox.lock().unwrap_or_else(|p| p.into_inner()).clone();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,44 +1,45 @@
-//! The gateway on sockets.
+//! The storage gateway on sockets.
 //!
-//! Fronts take NVMe over TCP from clients, links carry attempts to nodes, and one engine coroutine between them owns
-//! the core. A front knows nothing of nodes, a link nothing of clients. No decision about a request is made here:
-//! what happens is reported to the core as it was, *never sent*, *never ran* or *may have run*; in doubt the last.
+//! The front end accepts NVMe over TCP from clients, node connections carry attempts to nodes, and a single
+//! engine coroutine between them owns the core. The front end knows nothing of nodes, a node connection
+//! nothing of clients. No decision about a request is made here: outcomes are reported to the core as *never
+//! sent*, *never ran* or *may have run*; in doubt as the last.
 //!
-//! A slow or dead peer never blocks the engine: answers are written at once as far as the socket takes them, the rest
-//! is kept up to a limit by a coroutine of its own, and beyond that the connection is closed.
+//! A slow or dead peer never blocks the engine: answers are written immediately as far as the socket accepts
+//! them, the rest is buffered up to a limit and written by a separate coroutine, and beyond that limit the
+//! connection is closed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod company;
+mod completion;
 mod connection;
+mod control_plane;
+mod coordination;
 mod drains;
 mod engine;
-mod entry;
-mod following;
-mod front;
+mod front_end;
 mod gateway;
-mod hand;
-mod journal;
-mod link;
-mod mapping;
+mod journal_writer;
 mod membership;
 mod message;
+mod node_connection;
 mod options;
-mod returning;
-mod rights;
+mod peer_network;
+mod recovery_driver;
+mod registration;
+mod retry_cap;
+mod shadow_trial;
 mod status;
-mod together;
-mod trial;
+mod write_journal;
 
-pub use company::CompanyOptions;
+pub use completion::{completion_of, retry_delay_index};
+pub use coordination::TogetherOptions;
 pub use gateway::{Gateway, GatewayError};
-pub use mapping::{advice_index, told};
 pub use membership::{MembershipOptions, ViewLine};
-pub use options::{GatewayOptions, LinkOptions, NodeLine, NodeLineState};
-pub use returning::ReturnOptions;
+pub use options::{GatewayOptions, LinkOptions, NodeLine, NodeLineState, ReturnOptions};
+pub use peer_network::CompanyOptions;
 pub use status::{
     ControlAnswer, ControlRequest, ControlStatus, EndedStatus, FleetStatus, MemberStatus, NodeFactStatus,
     NodeStatus, RegionStatus, RepeatsStatus, RequestStatus, ShadowStatus, Status, VolumeStatus,
 };
-pub use together::TogetherOptions;
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,7 +1,8 @@
-//! The fleet's view, fed with what this gateway hears and sees, and published.
+//! The membership view of the fleet: fed with what this gateway observes and hears from peers, and published.
 //!
-//! It says who is there and chooses nothing: no node, time or answer of a request hangs on it. Nothing of it runs on the path of
-//! a request: it is fed by its own times, by peers' words, and at housekeeping.
+//! The view tells which gateways exist and decides nothing: no choice of a node, a time or an answer depends
+//! on it. It is never on the path of a request: it is driven by its own deadlines, by peer messages, and at
+//! housekeeping.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -16,39 +17,39 @@
 use serde::{Deserialize, Serialize};
 use storage_core::Micros;
 
-use crate::company::Company;
+use crate::peer_network::PeerNetwork;
 
-/// The latest snapshot of the view; reading it asks nobody.
-pub(crate) type Snapshot = Arc<ArcSwap<View>>;
+/// The latest snapshot of the view; reading it never blocks.
+pub(crate) type ViewSnapshot = Arc<ArcSwap<View>>;
 
-/// Settings of a gateway that holds a view of its fleet.
+/// Settings of the membership view.
 #[derive(Clone, Debug)]
 pub struct MembershipOptions {
-    /// The view's own.
+    /// Settings of the view itself.
     pub fleet: FleetOptions,
-    /// Folder of the file that tells each change of the view, view-NAME.jsonl; none without it.
+    /// Folder of view-NAME.jsonl, the log of view changes; no log without it.
     pub records: Option<PathBuf>,
 }
 
-/// A line of view-NAME.jsonl: what one gateway held from then on.
+/// A line of view-NAME.jsonl: the view that a gateway held from this time on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewLine {
-    /// When, in microseconds since the Unix epoch.
+    /// Time of the change, in microseconds since the Unix epoch.
     pub t: Micros,
-    /// Whose view.
+    /// The gateway that held the view.
     pub gateway: String,
-    /// In which life of it.
+    /// The life that the gateway was in.
     pub life: String,
-    /// Rises by one with each change in that life.
+    /// Number of the view; increases by one with each change within a life.
     pub number: u64,
-    /// Equal at gateways that hold the same.
+    /// Digest of the view; equal at gateways that hold the same view.
     pub digest: u64,
-    /// Names, lives (none while joining) and standings.
+    /// Name, life (`None` while joining) and standing of each member.
     pub members: Vec<(String, Option<String>, String)>,
 }
 
-/// The word for a standing.
-pub(crate) fn word(standing: Standing) -> &'static str {
+/// The name of a standing, as shown to operators.
+pub(crate) fn standing_name(standing: Standing) -> &'static str {
     match standing {
         Standing::Joining => "joining",
         Standing::Up => "up",
@@ -59,44 +60,54 @@
     }
 }
 
-/// A life in full: two that differ in their nonce alone are told apart.
-pub(crate) fn name_of(life: Life) -> String {
+/// A life in full, so that two lives that differ only in their nonce have different names.
+pub(crate) fn life_name(life: Life) -> String {
     format!("{}/{:016x}", life.incarnation.0, life.nonce.0)
 }
 
 pub(crate) struct Membership {
     fleet: Fleet,
-    company: Company,
+    peer_network: PeerNetwork,
     life: Life,
-    snapshot: Snapshot,
+    snapshot: ViewSnapshot,
     records: Option<Sender<ViewLine>>,
-    /// What was said of nodes last: start, cold, silent.
-    seen: HashMap<String, (i64, bool, bool)>,
-    out: Vec<Output>,
+    /// The start, coldness and silence of each node as last reported.
+    reported_nodes: HashMap<String, (i64, bool, bool)>,
+    outputs: Vec<Output>,
 }
 
 impl Membership {
-    /// Begins in the company's life.
+    /// Starts in the peer network's life.
     pub(crate) fn start(
         options: MembershipOptions,
-        company: Company,
+        peer_network: PeerNetwork,
         now: Micros,
         seed: u64,
     ) -> std::io::Result<Membership> {
-        let life = company.life();
-        let records =
-            options.records.as_deref().map(|folder| keep(folder, &options.fleet.name.0)).transpose()?;
-        // Danger: gateways started with one seed would probe and gossip in step.
+        let life = peer_network.life();
+        let records = options
+            .records
+            .as_deref()
+            .map(|folder| start_view_writer(folder, &options.fleet.name.0))
+            .transpose()?;
+        // The nonce keeps gateways started with the same seed from probing and gossiping in step.
         let fleet = Fleet::new(options.fleet, life, now, seed ^ life.nonce.0);
         let snapshot = Arc::new(ArcSwap::new(fleet.view()));
-        let membership =
-            Membership { fleet, company, life, snapshot, records, seen: HashMap::new(), out: Vec::new() };
+        let membership = Membership {
+            fleet,
+            peer_network,
+            life,
+            snapshot,
+            records,
+            reported_nodes: HashMap::new(),
+            outputs: Vec::new(),
+        };
         membership.record(&membership.fleet.view());
         Ok(membership)
     }
 
-    /// Where its snapshots are published.
-    pub(crate) fn snapshot(&self) -> Snapshot {
+    /// The snapshot to which views are published.
+    pub(crate) fn snapshot(&self) -> ViewSnapshot {
         self.snapshot.clone()
     }
 
@@ -116,68 +127,69 @@
         self.fleet.next_due()
     }
 
-    /// What a peer said or did; whether the view is another now.
-    pub(crate) fn told(&mut self, now: Micros, told: Told) -> bool {
-        match told {
-            Told::Up { peer, life } => self.take(now, Input::Linked(peer, life)),
-            Told::Down { peer, .. } => self.take(now, Input::Unlinked(peer)),
+    /// Handles a peer event. Returns whether the view changed.
+    pub(crate) fn on_peer_event(&mut self, now: Micros, event: Told) -> bool {
+        match event {
+            Told::Up { peer, life } => self.handle(now, Input::Linked(peer, life)),
+            Told::Down { peer, .. } => self.handle(now, Input::Unlinked(peer)),
             Told::Noted { peer, life, kind: KIND, body } => {
-                self.take(now, Input::Heard { from: peer, life, body })
+                self.handle(now, Input::Heard { from: peer, life, body })
             }
             Told::Renewed { life } => {
                 self.life = life;
-                self.take(now, Input::Renewed(life))
+                self.handle(now, Input::Renewed(life))
             }
             _ => false,
         }
     }
 
     pub(crate) fn tick(&mut self, now: Micros) -> bool {
-        self.take(now, Input::Tick)
+        self.handle(now, Input::Tick)
     }
 
-    /// What this gateway holds now.
-    pub(crate) fn hold(&mut self, now: Micros, holding: Holding) -> bool {
-        self.take(now, Input::Hold(holding))
+    /// Announces what this gateway serves and tries. Returns whether the view changed.
+    pub(crate) fn announce(&mut self, now: Micros, holding: Holding) -> bool {
+        self.handle(now, Input::Hold(holding))
     }
 
-    /// What is seen of all nodes now; of each it is said when it is another than before, as the rest is a matter of time.
-    pub(crate) fn saw(&mut self, now: Micros, sights: Vec<NodeSight>) -> bool {
+    /// Reports the observed state of all nodes. A node is only reported when its start, coldness or silence
+    /// changed, because the rest follows from the passing of time. Returns whether the view changed.
+    pub(crate) fn report_nodes(&mut self, now: Micros, observations: Vec<NodeSight>) -> bool {
         let mut changed = false;
-        self.seen.retain(|name, _| sights.iter().any(|s| s.node == *name));
-        for sight in sights {
-            let told = (sight.started, sight.cold_for > 0, sight.silent_for > 0);
-            if self.seen.get(&sight.node) != Some(&told) {
-                self.seen.insert(sight.node.clone(), told);
-                changed |= self.take(now, Input::Saw(sight));
+        self.reported_nodes.retain(|name, _| observations.iter().any(|s| s.node == *name));
+        for observation in observations {
+            let state = (observation.started, observation.cold_for > 0, observation.silent_for > 0);
+            if self.reported_nodes.get(&observation.node) != Some(&state) {
+                self.reported_nodes.insert(observation.node.clone(), state);
+                changed |= self.handle(now, Input::Saw(observation));
             }
         }
         changed
     }
 
-    /// This gateway is about to leave by its own will.
-    pub(crate) fn leave(&mut self, now: Micros) -> bool {
-        self.take(now, Input::Leave)
+    /// This gateway is about to leave the fleet deliberately.
+    pub(crate) fn announce_leaving(&mut self, now: Micros) -> bool {
+        self.handle(now, Input::Leave)
     }
 
-    /// This gateway has left by its own will: nothing it took is open.
-    pub(crate) fn has_left(&mut self, now: Micros) -> bool {
+    /// This gateway has left deliberately: no accepted request is open.
+    pub(crate) fn announce_left(&mut self, now: Micros) -> bool {
         let own = self.fleet.view().own.clone();
-        self.take(now, Input::Left(own, self.life))
+        self.handle(now, Input::Left(own, self.life))
     }
 
-    fn take(&mut self, now: Micros, input: Input) -> bool {
-        self.fleet.handle(now, input, &mut self.out);
+    fn handle(&mut self, now: Micros, input: Input) -> bool {
+        self.fleet.handle(now, input, &mut self.outputs);
         let mut changed = false;
-        for output in std::mem::take(&mut self.out) {
+        for output in std::mem::take(&mut self.outputs) {
             match output {
-                Output::Send { to, body } => self.company.note_to(&to, KIND, body),
+                Output::Send { to, body } => self.peer_network.note_to(&to, KIND, body),
                 Output::Changed(view) => {
                     changed = true;
                     self.publish(view);
                 }
                 Output::TurnedAway { from, why } => {
-                    tracing::warn!(%from, why, "something that a member said of the fleet was turned away");
+                    tracing::warn!(%from, why, "rejected a peer's message about the fleet");
                 }
             }
         }
@@ -187,10 +199,11 @@
     fn publish(&self, view: Arc<View>) {
         let before = self.snapshot.load();
         for member in &view.members {
-            let was = before.member(&member.name).map(|m| (m.standing, m.life));
-            if was != Some((member.standing, member.life)) {
+            let previous = before.member(&member.name).map(|m| (m.standing, m.life));
+            if previous != Some((member.standing, member.life)) {
                 let life = member.life.map_or_else(String::new, |life| life.to_string());
-                tracing::info!(member = %member.name, life, standing = word(member.standing), "the view changed");
+                let standing = standing_name(member.standing);
+                tracing::info!(member = %member.name, life, standing, "the view changed");
             }
         }
         self.record(&view);
@@ -200,24 +213,24 @@
     fn record(&self, view: &View) {
         let Some(records) = &self.records else { return };
         let members = view.members.iter().map(|m| {
-            let life = m.life.map(name_of);
-            (m.name.0.clone(), life, word(m.standing).to_owned())
+            let life = m.life.map(life_name);
+            (m.name.0.clone(), life, standing_name(m.standing).to_owned())
         });
         let line = ViewLine {
             t: view.at,
             gateway: view.own.0.clone(),
-            life: name_of(self.life),
+            life: life_name(self.life),
             number: view.number,
             digest: view.digest,
             members: members.collect(),
         };
-        // The thread ends with the process only.
+        // The thread ends only with the process.
         let _ = records.send(line);
     }
 }
 
-/// A thread that writes the lines down, so that the engine waits for no disk.
-fn keep(folder: &Path, name: &str) -> std::io::Result<Sender<ViewLine>> {
+/// Starts a thread that writes the lines, so that the engine does not wait for the disk.
+fn start_view_writer(folder: &Path, name: &str) -> std::io::Result<Sender<ViewLine>> {
     let recorder = Recorder::append(&folder.join(format!("view-{name}.jsonl")))?;
     let (lines, inbox) = mpsc::channel::<ViewLine>();
     thread::Builder::new().name("view".into()).spawn(move || {
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,4 +1,4 @@
-//! What reaches the engine, and the way to it.
+//! Messages to the engine, and the inbox that carries them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use crate::connection::{Connection, ConnectionId};
 use crate::status::{ControlAnswer, ControlRequest};
 
-/// What reaches the engine.
+/// A message to the engine.
 pub(crate) enum Message {
     Opened(Arc<Connection>),
-    /// It completed its way up, as a queue of this host's.
+    /// The connection completed its handshake, as a queue of this host.
     Bound(ConnectionId, Admission, Arc<str>),
-    /// It gives way to another: it never completed its way up.
+    /// Close a connection that did not complete its handshake, in favour of a newer one.
     Evict(ConnectionId),
     Command(ConnectionId, IoCommand),
     Abort {
@@ -27,33 +27,33 @@
     },
     Closed(ConnectionId),
     AssociationEnded(u16),
-    Ended(AttemptId, End),
-    /// Something is due.
+    AttemptEnded(AttemptId, End),
+    /// A deadline has been reached.
     Tick,
-    /// Records of writes in hand are durable, or could not be made so.
-    Kept {
-        seqs: Vec<u64>,
+    /// The records of these writes are durable, or could not be made so.
+    JournalSynced {
+        sequences: Vec<u64>,
         error: Option<String>,
     },
-    /// What a peer said or did.
-    Peer(peer::Told),
-    /// Nodes that the control plane drains, and no others.
-    Drains(BTreeSet<String>),
-    /// Another candidate is to be tried, or none.
-    Candidate(Option<Box<shadow::ShadowOptions>>),
+    /// An event of the peer network.
+    PeerEvent(peer::Told),
+    /// The complete set of nodes that the control plane drains.
+    DrainedNodes(BTreeSet<String>),
+    /// Replace the candidate on trial, or end the trial.
+    ReplaceCandidate(Option<Box<shadow::ShadowOptions>>),
     Control(ControlRequest, thread_mpsc::Sender<Result<ControlAnswer, String>>),
-    /// Stop; told once everything is answered.
+    /// Stop; answered once every accepted request is answered.
     Stop(thread_mpsc::Sender<()>),
 }
 
-/// The way to the engine. What it holds is bounded by what its senders may have out: the commands of each
-/// connection's queue, and the attempts of each link's.
+/// The sender of messages to the engine. The number of messages queued is bounded by what the senders may
+/// have in flight: the commands of each connection's queue, and the attempts of each node connection.
 #[derive(Clone)]
 pub(crate) struct Inbox(pub(crate) Sender<Message>);
 
 impl Inbox {
     pub(crate) fn send(&self, message: Message) {
-        // The engine ends last; what comes after it concerns nobody.
+        // The engine ends last; messages after its end concern nobody.
         let _ = self.0.send(message);
     }
 }
--- a/crates/gateway/src/link/answers.rs
+++ b/crates/gateway/src/node_connection/replies.rs
@@ -1,4 +1,4 @@
-//! What comes from a node, and what goes to it.
+//! Submissions to a node and its replies.
 
 use std::io::Read;
 
@@ -7,10 +7,10 @@
 use nvme::{GatherList, HostEvent, Reply, Sqe, StatusCode, Submission};
 use storage_core::{End, Opcode, Send};
 
-use super::{Link, READ, State};
+use super::{NodeConnection, READ_BUFFER_BYTES, State};
 use crate::message::Message;
 
-impl Link {
+impl NodeConnection {
     /// Reads the admin queue until its connection ends.
     pub(super) fn read_admin(&self, stream: &mut TcpStream) {
         let (mut buffer, mut events) = (vec![0; 1024], Vec::new());
@@ -30,46 +30,46 @@
         }
     }
 
-    /// Reads answers until the connection ends.
+    /// Reads replies until the connection ends.
     pub(super) fn read(&self, stream: &mut TcpStream) {
-        let mut buffer = vec![0; READ].into_boxed_slice();
+        let mut buffer = vec![0; READ_BUFFER_BYTES].into_boxed_slice();
         let mut events = Vec::new();
         loop {
             let n = match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => return,
                 Ok(n) => n,
             };
-            let mut goes_on = true;
+            let mut keep_open = true;
             let mut ended = Vec::new();
             {
                 let mut state = self.state();
-                let State { queue: Some((initiator, outlet)), flights, .. } = &mut *state else { return };
+                let State { queue: Some((initiator, outlet)), in_flight, .. } = &mut *state else { return };
                 let mut out = GatherList::new();
                 initiator.receive(&buffer[..n], &mut out, &mut events);
                 outlet.push(out);
                 for event in events.drain(..) {
                     match event {
                         HostEvent::Reply(reply) => {
-                            let flight = flights.remove(&reply.user);
-                            ended.extend(flight.map(|f| (f.0, end_of(reply))));
+                            let flight = in_flight.remove(&reply.user);
+                            ended.extend(flight.map(|f| (f.0, end_for_reply(reply))));
                         }
                         HostEvent::Fault(fault) => {
-                            tracing::warn!(address = %self.address, %fault, "a link is broken");
-                            goes_on = false;
+                            tracing::warn!(address = %self.address, %fault, "protocol error; closing the connection");
+                            keep_open = false;
                         }
                         HostEvent::Ready { .. } => {}
                     }
                 }
             }
-            ended.into_iter().for_each(|(a, end)| self.inbox.send(Message::Ended(a, end)));
-            if !goes_on {
+            ended.into_iter().for_each(|(a, end)| self.inbox.send(Message::AttemptEnded(a, end)));
+            if !keep_open {
                 return;
             }
         }
     }
 }
 
-pub(super) fn submission(send: &Send, user: u64) -> Submission {
+pub(super) fn submission_for(send: &Send, user: u64) -> Submission {
     let (opcode, expect) = match send.opcode {
         Opcode::Read => (nvme::io::READ, send.bytes),
         Opcode::Write => (nvme::io::WRITE, 0),
@@ -82,8 +82,8 @@
     Submission { sqe, data: send.data.clone(), expect, user }
 }
 
-/// What a node's answer tells. Only its own word for *full* proves that a command never ran.
-fn end_of(reply: Reply) -> End {
+/// The end of an attempt as told by a node's reply. Only the status *full* proves that a command never ran.
+fn end_for_reply(reply: Reply) -> End {
     let outcome = if reply.status.is_success() {
         Outcome::Served
     } else if reply.status.is(StatusCode::VendorFull) {
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -4,23 +4,23 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::company::CompanyOptions;
+use crate::peer_network::CompanyOptions;
 use limits::GateOptions;
 use nvme::{Digests, TargetOptions};
 use planelink::FollowOptions;
 use serde::{Deserialize, Serialize};
 use storage_core::{Catalogue, Micros, NodeState};
 
-/// Whether a node takes work, as listed.
+/// Whether a node accepts work, as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeLineState {
-    /// It does.
+    /// It accepts work.
     #[default]
     On,
-    /// It finishes what it has.
+    /// It finishes its open work and gets no more.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     Gone,
 }
 
@@ -48,73 +48,88 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeLine {
-    /// Its name, which a restart keeps.
+    /// Its name, which stays the same across restarts.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Zone.
+    /// Its zone.
     #[serde(default)]
     pub zone: u32,
-    /// The shard it holds.
+    /// The shard that it serves.
     pub shard: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     #[serde(default)]
     pub state: NodeLineState,
-    /// When it last started, in microseconds since the Unix epoch; 0: long ago.
+    /// Time of its last start, in microseconds since the Unix epoch; 0 means long ago.
     #[serde(default)]
     pub started: Micros,
 }
 
-/// Settings of the links to nodes.
+/// Settings of the connections to nodes.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
     /// NQN of the nodes' subsystem.
     pub subsystem: String,
-    /// Entries of a link's queue: one fewer attempts are out at most.
+    /// Entries of the I/O queue; at most one fewer attempts are in flight.
     pub entries: u32,
-    /// A connection and its way up take at most this long.
+    /// Time limit for a connection and its handshake.
     pub connect_timeout: Duration,
-    /// Pause after a connection could not be had or broke, before the next is tried unasked.
+    /// Pause after a failed or lost connection before the next attempt, if no send asks for it earlier.
     pub reconnect_pause: Duration,
-    /// A command that the node has not ended by then, on a queue without room, breaks the link.
+    /// If the queue is full and a command has been in flight for longer than this, the connection is
+    /// re-established.
     pub command_timeout: Duration,
-    /// Keep alive time-out.
+    /// Keep alive timeout.
     pub keep_alive: Duration,
-    /// Digests asked for.
+    /// Digests requested from nodes.
     pub digests: Digests,
 }
 
+/// Settings of a gateway that asks its peers for their state when it restarts.
+#[derive(Clone, Debug)]
+pub struct ReturnOptions {
+    /// How long to wait for peers at most.
+    pub ask_for: Duration,
+    /// The longest time for which anything sent before a crash may still run at a node.
+    pub rest: Duration,
+    /// Whether writes are journaled before they are sent, so that after a crash only the keys of journaled
+    /// writes stay closed.
+    pub journal: bool,
+    /// Whether to keep the mark beside the journal that a test rig needs to simulate a power cut.
+    pub mark: bool,
+}
+
 /// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
     /// Its name among the gateways; the last part of its host NQN.
     pub name: String,
-    /// Where clients connect; port 0 lets the system choose.
+    /// The address for clients; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Volumes, classes and the module's settings.
+    /// Volumes, classes and the decision module's settings.
     pub catalogue: Catalogue,
-    /// Feeds the module's randomness.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// What clients see: subsystem, namespaces, limits.
     pub target: TargetOptions,
-    /// Digests used where a client asks for them.
+    /// Digests to use where a client requests them.
     pub digests: Digests,
-    /// Links.
+    /// Connections to nodes.
     pub link: LinkOptions,
-    /// What it grants its clients of itself.
+    /// The gateway's own limits on connections and held commands.
     pub gate: GateOptions,
-    /// Bytes that wait for one connection that does not read, at most.
+    /// Most bytes buffered for a client connection that does not read.
     pub spill: usize,
-    /// The node list from before the start.
+    /// The node list known before the start.
     pub nodes: Vec<NodeLine>,
-    /// Nothing is taken until the first orders come.
+    /// Whether to accept nothing until the first orders arrive.
     pub await_orders: bool,
-    /// Control socket.
+    /// Path of the control socket.
     pub control: Option<PathBuf>,
-    /// Told to stop, it leaves within this, having answered all it took.
+    /// Time after a stop request by which the gateway exits, with every accepted request answered.
     pub stop_within: Duration,
-    /// It has peers; without them it is open at once, and talks to nobody.
+    /// The peers; without them the gateway serves from its start and talks to no other gateway.
     pub company: Option<CompanyOptions>,
-    /// It follows a control plane; without it, it is told by its list and its operators alone.
+    /// The control plane; without it only the node list and the operators change the gateway's state.
     pub plane: Option<FollowOptions>,
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! What the control socket carries.
+//! Requests and answers of the control socket.
 
 mod control;
 mod fleet;
@@ -15,43 +15,43 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
 pub enum ControlRequest {
-    /// The state of the gateway.
+    /// Report the gateway's state.
     Status,
-    /// The open requests, oldest first.
+    /// List the open requests, oldest first.
     Requests {
-        /// At most so many.
+        /// Most requests to list.
         most: usize,
     },
-    /// The node list, whole or the lines that changed.
+    /// Replace the node list, or change some of its lines.
     Nodes {
-        /// Nodes left out are gone.
+        /// Whether nodes left out are removed.
         whole: bool,
         /// The lines.
         lines: Vec<NodeLine>,
     },
-    /// What the operators' intents mean: the whole node list, and what is not taken.
+    /// Apply operators' orders: the whole node list, and what is not accepted.
     Orders {
-        /// The intents' number.
+        /// Revision of the operators' intents.
         revision: u64,
-        /// The whole list.
+        /// The whole node list.
         lines: Vec<NodeLine>,
-        /// Volumes of which nothing new is taken, by name.
+        /// Names of the volumes on hold, for which no new requests are accepted.
         held: Vec<String>,
-        /// Nothing new is taken at all.
+        /// Whether to accept no new requests at all.
         paused: bool,
     },
-    /// The last operations that ended unserved.
+    /// List the last operations that ended unserved.
     Ended,
-    /// Wait for peers and cold nodes no longer, or release a key unsettled, by its number.
+    /// Override the recovery: stop waiting for peers and cold nodes, or release a key without settling it.
     Recovery {
-        /// Wait no longer.
+        /// Whether to stop waiting.
         #[serde(default)]
         hurry: bool,
-        /// The key.
+        /// Number of the key to release.
         #[serde(default)]
         release: Option<u64>,
     },
-    /// Take nothing new, answer all, and leave.
+    /// Accept no new requests, answer all open ones, and exit.
     Stop,
 }
 
@@ -59,36 +59,36 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ControlAnswer {
-    /// The state.
+    /// The gateway's state.
     Status(Box<Status>),
     /// The open requests.
     Requests(Vec<RequestStatus>),
     /// Operations that ended unserved, oldest first.
     Ended(Vec<EndedStatus>),
-    /// Carried out; the time on the gateway's clock.
+    /// The request was carried out at this time on the gateway's clock.
     Done(Micros),
 }
 
 /// An operation that ended unserved.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndedStatus {
-    /// When.
+    /// When it ended.
     pub at: Micros,
     /// Its number.
     pub id: u64,
-    /// Volume.
+    /// Name of its volume.
     pub volume: String,
-    /// What it was to do.
+    /// Its operation.
     pub op: String,
-    /// Class.
+    /// Its class.
     pub class: String,
-    /// Refused with this advice; none: failed.
+    /// The retry delay advised with its refusal; `None` if it failed.
     pub refused: Option<Micros>,
-    /// How old it was.
+    /// Its age at its end.
     pub age: Micros,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// Why, as far as it shows.
+    /// Why it ended unserved, as far as known.
     pub reason: String,
 }
 
@@ -97,87 +97,87 @@
 pub struct Status {
     /// Its name.
     pub name: String,
-    /// Its process.
+    /// Its process identifier.
     pub pid: u32,
-    /// The intents that it follows.
+    /// Revision of the operators' intents in force.
     pub revision: u64,
-    /// Volumes held.
+    /// Names of volumes on hold.
     pub held: Vec<String>,
-    /// Nothing new is taken.
+    /// Whether all new requests are refused.
     pub paused: bool,
-    /// Where it listens.
+    /// The address for clients.
     pub address: String,
     /// When it started.
     pub started: Micros,
-    /// Now.
+    /// The current time.
     pub now: Micros,
-    /// It takes nothing new.
+    /// Whether it is stopping and accepts no new requests.
     pub stopping: bool,
     /// Client connections.
     pub connections: usize,
-    /// Of these, on their way up.
+    /// Client connections whose handshake is in progress.
     #[serde(default)]
     pub rising: usize,
-    /// Hosts that they belong to.
+    /// Hosts to which the connections belong.
     #[serde(default)]
     pub hosts: usize,
-    /// Commands held for them.
+    /// Commands held for all hosts.
     #[serde(default)]
     pub held_commands: usize,
-    /// Bytes held for them.
+    /// Bytes held for all hosts.
     #[serde(default)]
     pub held_bytes: u64,
-    /// Commands that wait for their host's turn.
+    /// Commands waiting for their host's turn.
     #[serde(default)]
     pub waiting_turn: usize,
-    /// What the gateway's own limits turned away, by limit.
+    /// Connections and commands refused by the gateway's own limits, by limit.
     #[serde(default)]
     pub turned_away: std::collections::BTreeMap<String, u64>,
-    /// Operations owed an answer.
+    /// Accepted operations that are not answered yet.
     pub open: usize,
-    /// Attempts out.
+    /// Attempts in flight.
     pub out: usize,
-    /// Operations taken.
+    /// Operations accepted.
     pub taken: u64,
-    /// Served.
+    /// Operations served.
     pub served: u64,
-    /// Refused.
+    /// Operations refused.
     pub refused: u64,
-    /// Failed.
+    /// Operations failed.
     pub failed: u64,
-    /// Aborted.
+    /// Operations aborted by their client.
     pub aborted: u64,
-    /// Left by their client.
+    /// Operations whose client has gone.
     pub withdrawn: u64,
     /// Attempts sent.
     pub sent: u64,
-    /// Attempts after a request's first.
+    /// Attempts other than a request's first.
     pub further: u64,
-    /// Ends that nobody waited for.
+    /// Attempts that ended when they were no longer awaited.
     pub late: u64,
-    /// What ended unserved, by reason.
+    /// Unserved operations by reason.
     pub reasons: std::collections::BTreeMap<String, u64>,
-    /// The same by class and cause, as the decision module saw it.
+    /// Unserved operations by class and cause, as the decision module saw them.
     #[serde(default)]
     pub causes: std::collections::BTreeMap<String, u64>,
-    /// How far it has come back; none: it has no peers, and is open at once.
+    /// Progress of the recovery; `None` without peers to recover with.
     #[serde(default)]
     pub recovery: Option<recovery::Shown>,
-    /// The fleet as it sees it; none: it knows of no other gateway.
+    /// The fleet; `None` if this gateway knows of no other.
     #[serde(default)]
     pub fleet: Option<FleetStatus>,
-    /// The cap on repeats as it holds it; none: its own budget alone holds.
+    /// The retry cap; `None` if only the gateway's own retry budget applies.
     #[serde(default)]
     pub repeats: Option<RepeatsStatus>,
-    /// The candidate shard map that is tried; none: there is none.
+    /// The candidate shard map on trial, if any.
     #[serde(default)]
     pub shadow: Option<ShadowStatus>,
-    /// The control plane's state as it holds it; none: it follows none.
+    /// The control plane's state as held here; `None` if the gateway follows none.
     #[serde(default)]
     pub control: Option<ControlStatus>,
-    /// Nodes.
+    /// The nodes.
     pub nodes: Vec<NodeStatus>,
-    /// Volumes.
+    /// The volumes.
     pub volumes: Vec<VolumeStatus>,
 }
 
@@ -186,19 +186,19 @@
 pub struct NodeStatus {
     /// Its name.
     pub name: String,
-    /// Where it listens, as listed.
+    /// Its address, as listed.
     pub address: String,
-    /// Zone.
+    /// Its zone.
     pub zone: u32,
-    /// Shard.
+    /// Its shard.
     pub shard: u32,
-    /// As listed.
+    /// Its state, as listed.
     pub state: NodeLineState,
-    /// Its start, as listed; 0: long ago.
+    /// Time of its last start, as listed; 0 means long ago.
     pub started: Micros,
-    /// State of the link.
+    /// State of the connection to it.
     pub link: String,
-    /// Attempts out.
+    /// Attempts in flight.
     pub out: u32,
     /// Attempts sent.
     pub sent: u64,
@@ -206,21 +206,21 @@
     pub served: u64,
     /// Attempts that ended in any other way.
     pub unserved: u64,
-    /// Requests it held, as it said last.
+    /// Requests in progress at the node, as last reported by it.
     pub load: Option<u32>,
-    /// When it was last heard of; 0: never.
+    /// Time of its last reply; 0 means never.
     pub heard: Micros,
     /// Latency of its last answer, in microseconds.
     pub latency: Micros,
-    /// The law's bound on attempts out.
+    /// The control law's bound on attempts in flight.
     pub bound: f64,
-    /// The law's L: smoothed latency over aim.
+    /// The control law's L: smoothed latency divided by its target.
     pub l: f64,
-    /// Requests that wait for its shard.
+    /// Requests waiting for its shard.
     pub waiting: usize,
-    /// No word from it for too long.
+    /// Whether it has been silent for too long.
     pub silent: bool,
-    /// It warms up.
+    /// Whether it is warming up.
     pub cold: bool,
 }
 
@@ -231,17 +231,17 @@
     pub name: String,
     /// Namespace identifier.
     pub nsid: u32,
-    /// Operations open.
+    /// Open operations.
     pub open: u64,
-    /// Operations taken.
+    /// Operations accepted.
     pub taken: u64,
-    /// Served.
+    /// Operations served.
     pub served: u64,
-    /// Refused.
+    /// Operations refused.
     pub refused: u64,
-    /// Failed.
+    /// Operations failed.
     pub failed: u64,
-    /// Units asked for.
+    /// Units of work requested.
     pub units: f64,
 }
 
@@ -250,16 +250,16 @@
 pub struct RequestStatus {
     /// Its number.
     pub id: u64,
-    /// Volume.
+    /// Name of its volume.
     pub volume: String,
-    /// What it does.
+    /// Its operation.
     pub op: String,
-    /// Class.
+    /// Its class.
     pub class: String,
-    /// Age, in microseconds.
+    /// Its age, in microseconds.
     pub age: Micros,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// Nodes at which attempts are out.
+    /// Nodes with attempts in flight.
     pub nodes: Vec<String>,
 }
--- a/crates/gateway/src/status/control.rs
+++ b/crates/gateway/src/status/control.rs
@@ -1,4 +1,4 @@
-//! What operators see of the control plane as a gateway follows it.
+//! The control plane's state as shown on the control socket.
 
 use std::collections::BTreeSet;
 
@@ -9,38 +9,38 @@
 /// The control plane's state as this gateway holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// The machine that it follows; none: it serves on with what it has.
+    /// The machine that the gateway follows; `None` if it serves with the state it has.
     pub machine: Option<String>,
-    /// Since when it follows that machine, or has none.
+    /// Since when it has followed that machine, or had none.
     pub since: Micros,
-    /// It had all that its machine has, in all regions, on this link.
+    /// Whether it has caught up with its machine in all regions, on this connection.
     pub level: bool,
-    /// Regions, and up to where it holds the changes of each.
+    /// Position up to which each region's changes are held.
     pub regions: Vec<RegionStatus>,
-    /// Live entries held.
+    /// Number of live entries.
     pub entries: usize,
-    /// Bytes that came from machines, and went to them, since its start.
+    /// Bytes received from machines since the start.
     pub bytes_in: u64,
-    /// See `bytes_in`.
+    /// Bytes sent to machines since the start.
     pub bytes_out: u64,
-    /// Whole states that came since its start.
+    /// Full snapshots received since the start.
     pub wholes: u64,
-    /// What machines said that was turned away.
+    /// Messages from machines that were rejected.
     pub turned_away: u64,
-    /// Its disk keeps all that it holds.
+    /// Whether the whole state is stored on disk.
     pub kept: bool,
-    /// Nodes that entries drain, by name.
+    /// Names of the nodes that entries drain.
     pub drains: Vec<String>,
 }
 
-/// Up to where a region's changes are held.
+/// Position up to which a region's changes are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionStatus {
     /// The region.
     pub region: u16,
-    /// Start of its writer; 0: nothing is held.
+    /// Epoch of its writer; 0 if nothing is held.
     pub epoch: u64,
-    /// Change.
+    /// Version of the last change.
     pub version: u64,
 }
 
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -1,72 +1,72 @@
-//! What operators see of the fleet, the cap and the shadow.
+//! The fleet, the retry cap and the shadow trial as shown on the control socket.
 
 use repeats::ShardLook;
 use serde::{Deserialize, Serialize};
 use shadow::{Enough, Verdict};
 use storage_core::Micros;
 
-use crate::membership::{name_of, word};
+use crate::membership::{life_name, standing_name};
 
 /// The fleet as this gateway sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
     /// The life that this gateway is in.
     pub life: String,
-    /// Rises by one with each change of the view in this life.
+    /// Number of the view; increases by one with each change within this life.
     pub number: u64,
-    /// Equal at gateways that hold the same; 16 digits.
+    /// Digest of the view, 16 hexadecimal digits; equal at gateways that hold the same view.
     pub digest: String,
-    /// Since when the view is this one.
+    /// When the view last changed.
     pub at: Micros,
-    /// Members by name, this gateway included.
+    /// Members by name, including this gateway.
     pub members: Vec<MemberStatus>,
-    /// Nodes that something is known of, by name.
+    /// Nodes of which something is known, by name.
     pub nodes: Vec<NodeFactStatus>,
-    /// Notes sent in this life, and their bytes.
+    /// Notes sent in this life.
     pub notes_out: u64,
-    /// See `notes_out`.
+    /// Bytes of the notes sent in this life.
     pub bytes_out: u64,
-    /// Changes of a member's standing in this life.
+    /// Changes of members' standings in this life.
     pub standings: u64,
-    /// Doubts of this gateway that it refuted.
+    /// Suspicions of this gateway that it refuted.
     pub refutations: u64,
-    /// What members said that was turned away.
+    /// Messages from members that were rejected.
     pub turned_away: u64,
-    /// Times that it found that it had itself been stopped.
+    /// How often this gateway found that its own process had been suspended.
     pub late: u64,
 }
 
-/// A member.
+/// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: u32,
-    /// The latest life known; none while it is joining.
+    /// The latest life known; `None` while it is joining.
     pub life: Option<String>,
-    /// joining, up, suspected, unreachable, leaving or left.
+    /// One of joining, up, suspected, unreachable, leaving and left.
     pub standing: String,
-    /// Since when, on this gateway's clock.
+    /// Since when it has this standing, on this gateway's clock.
     pub since: Micros,
-    /// Volumes that it serves, by its own word.
+    /// Volumes that it serves, as it announced.
     pub volumes: Vec<u32>,
-    /// Number of the cap's figures that it holds; 0: none.
+    /// Digest of the settings of its retry cap; 0 if it has none.
     pub cap: u64,
-    /// Digest of the candidate that it tries; 0: none.
+    /// Digest of the candidate on trial there; 0 if there is none.
     pub candidate: u64,
 }
 
-/// What the fleet has seen of a node.
+/// What the fleet knows of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeFactStatus {
     /// Its name.
     pub node: String,
-    /// The latest start that anybody has seen.
+    /// The latest start that any gateway has seen.
     pub started: Micros,
-    /// What was left of its warming when the view was made, in microseconds.
+    /// Remaining warm-up time when the view was made, in microseconds.
     pub cold_for: Micros,
-    /// Gateways that it says nothing to.
+    /// Gateways to which it is silent.
     pub silent_for: Vec<String>,
 }
 
@@ -75,8 +75,8 @@
         let member = |m: &fleet::Member| MemberStatus {
             name: m.name.0.clone(),
             zone: m.zone,
-            life: m.life.map(name_of),
-            standing: word(m.standing).to_owned(),
+            life: m.life.map(life_name),
+            standing: standing_name(m.standing).to_owned(),
             since: m.since,
             volumes: m.holding.volumes.clone(),
             cap: m.holding.cap,
@@ -89,7 +89,7 @@
             silent_for: n.silent_for.iter().map(|p| p.0.clone()).collect(),
         };
         FleetStatus {
-            life: name_of(life),
+            life: life_name(life),
             number: view.number,
             digest: format!("{:016x}", view.digest),
             at: view.at,
@@ -105,44 +105,44 @@
     }
 }
 
-/// The cap on repeats as this gateway holds it.
+/// The retry cap as this gateway holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RepeatsStatus {
-    /// Each shard; the last, without a number, is all of them together.
+    /// Each shard; the last entry, without a number, is the total.
     pub shards: Vec<ShardLook>,
     /// Totals of this life.
     pub counts: repeats::Counts,
 }
 
-/// The candidate that is tried.
+/// The candidate on shadow trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShadowStatus {
     /// Its number.
     pub number: u64,
-    /// Its digest, 16 digits: counts are added up among gateways that have the same.
+    /// Its digest, 16 hexadecimal digits; gateways with the same digest add up their counts.
     pub digest: String,
-    /// Extents that were compared, and those that lack; the verdict names the first of them alone.
+    /// Number of extents compared; the verdict lists only some of them.
     pub extents: usize,
-    /// See `extents`.
+    /// Number of extents that still lack comparisons; the verdict lists only some of them.
     pub lacking: usize,
-    /// What is known of it, over all gateways and lives; at most a second old.
+    /// The verdict over all gateways and lives; at most a second old.
     pub verdict: Verdict,
 }
 
-/// Extents that a status names at most. Danger: a map has tens of thousands, and consoles ask several times a second. Harm: which of
-/// them lack is not all shown; those that differ come first.
-const MOST_EXTENTS: usize = 64;
+/// Most extents listed in a status. A map has tens of thousands of extents, and consoles ask several times a
+/// second. The cost is that not all lacking extents are listed; those with differences come first.
+const MAX_LISTED_EXTENTS: usize = 64;
 
 impl ShadowStatus {
     pub(crate) fn of(number: u64, digest: u64, mut verdict: Verdict) -> ShadowStatus {
         let extents = verdict.extents.len();
         verdict.extents.sort_by_key(|e| std::cmp::Reverse(e.results.different));
-        verdict.extents.truncate(MOST_EXTENTS);
+        verdict.extents.truncate(MAX_LISTED_EXTENTS);
         verdict.extents.sort_by_key(|e| (e.nsid, e.extent));
         let lacking = match &mut verdict.enough {
             Enough::NotYet { lacking } => {
                 let all = lacking.len();
-                lacking.truncate(MOST_EXTENTS);
+                lacking.truncate(MAX_LISTED_EXTENTS);
                 all
             }
             Enough::Wrong(_) | Enough::Enough => 0,
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -1,4 +1,5 @@
-//! The decision module and the cap on repeats joined as the engine joins them, before two thousand repeats at once.
+//! The decision module and the retry cap, connected as the engine connects them, under two thousand
+//! simultaneous retries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,16 +9,16 @@
 
 const SECOND: Micros = 1_000_000;
 const SLICE: Micros = 62_500;
-const AIM: Micros = 200_000;
-const CROWD: u64 = 2_000;
-/// Numbers of requests that are no repeats.
-const FIRST: u64 = 1_000_000;
+const LATENCY_TARGET: Micros = 200_000;
+const BURST: u64 = 2_000;
+/// First number of requests that are not retries.
+const FIRST_NON_RETRY: u64 = 1_000_000;
 const SHARD: u32 = 0;
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 
 fn settings() -> Settings {
     let class = Class {
-        aim: AIM,
+        aim: LATENCY_TARGET,
         aim_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
@@ -62,41 +63,41 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Fate {
-    asked: Micros,
+struct RequestLog {
+    submitted_at: Micros,
     sent: Option<Micros>,
     refused: Option<(Micros, Micros)>,
 }
 
 /// One gateway with three nodes of a shard that serve each request within a millisecond.
-struct Joined {
+struct Coupled {
     module: Scheduler,
     cap: Cap,
     allowances: Allowances,
     limits: BTreeMap<u32, u32>,
-    /// The module's count, as the core keeps it for what is wanted.
+    /// The module's remaining allowance, tracked as the core does.
     left: u32,
     now: Micros,
     timers: BTreeSet<(Micros, u64)>,
     answers: BTreeSet<(Micros, RequestId, NodeId)>,
     effects: Vec<Action>,
     wanted: u32,
-    /// How many wait for a right, as the cap was told, and the most that ever did.
+    /// Requests waiting for a retry token as last reported to the cap, and the maximum of that count.
     waiting: usize,
-    most_waiting: usize,
-    told: u64,
-    fates: BTreeMap<u64, Fate>,
-    /// The nodes answer nothing any more.
+    max_waiting: usize,
+    allowances_given: u64,
+    requests: BTreeMap<u64, RequestLog>,
+    /// Whether the nodes have stopped answering.
     is_silent: bool,
 }
 
-impl Joined {
+impl Coupled {
     fn new(share: f64) -> Self {
         let name = PeerName("g0".into());
         let options =
             CapOptions { share, recovering_share: share / 5.0, ..CapOptions::new(name, 1, vec![SHARD]) };
         let life = Life { incarnation: Incarnation(1), nonce: Nonce(1) };
-        let mut joined = Joined {
+        let mut coupled = Coupled {
             module: Scheduler::new(settings(), 1),
             cap: Cap::new(options, life, 0, 1),
             allowances: Allowances::default(),
@@ -108,9 +109,9 @@
             effects: Vec::new(),
             wanted: 0,
             waiting: 0,
-            most_waiting: 0,
-            told: 0,
-            fates: BTreeMap::new(),
+            max_waiting: 0,
+            allowances_given: 0,
+            requests: BTreeMap::new(),
             is_silent: false,
         };
         let entry = |n| NodeEntry {
@@ -120,54 +121,58 @@
             state: NodeState::On,
             started: None,
         };
-        joined.give(Event::Nodes { whole: true, remembered: false, entries: (0..3).map(entry).collect() });
-        joined.hand(Input::Tick);
-        joined.settle();
-        joined.until(3 * SECOND);
-        joined
+        coupled.module_input(Event::Nodes {
+            whole: true,
+            remembered: false,
+            entries: (0..3).map(entry).collect(),
+        });
+        coupled.cap_input(Input::Tick);
+        coupled.run_actions();
+        coupled.run_until(3 * SECOND);
+        coupled
     }
 
-    fn give(&mut self, event: Event) {
+    fn module_input(&mut self, event: Event) {
         self.module.handle(self.now, event, &mut self.effects);
     }
 
-    fn hand(&mut self, input: Input) {
+    fn cap_input(&mut self, input: Input) {
         let mut out = Vec::new();
         self.cap.handle(self.now, input, &mut out);
         for output in out {
             if let Output::Allow(allowance) = output {
-                self.told += 1;
+                self.allowances_given += 1;
                 self.allowances.say(allowance);
             }
         }
     }
 
-    /// Carries out the module's actions and tells it what it may send, until there is nothing more.
-    fn settle(&mut self) {
-        while !self.effects.is_empty() || self.allow() {
+    /// Carries out the module's actions and gives it allowances until nothing is left to do.
+    fn run_actions(&mut self) {
+        while !self.effects.is_empty() || self.give_allowance() {
             for action in std::mem::take(&mut self.effects) {
                 self.carry_out(action);
             }
         }
     }
 
-    fn allow(&mut self) -> bool {
+    fn give_allowance(&mut self) -> bool {
         for _ in 0..std::mem::take(&mut self.wanted) {
-            self.hand(Input::Wanted { shard: SHARD, worth: 1.0, left: SECOND });
+            self.cap_input(Input::Wanted { shard: SHARD, worth: 1.0, left: SECOND });
         }
         for Shortage { shard, waiting, worth } in self.module.take_shortages() {
             self.waiting = waiting as usize;
-            self.most_waiting = self.most_waiting.max(self.waiting);
-            self.hand(Input::Waiting { shard: shard.0, waiting, worth });
+            self.max_waiting = self.max_waiting.max(self.waiting);
+            self.cap_input(Input::Waiting { shard: shard.0, waiting, worth });
         }
         let Some(allowance) = self.allowances.next_untold() else { return false };
         let most = self.cap.may_wait(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
-            self.give(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
+            self.module_input(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
         }
         self.left = allowance.further;
         let (shard, further, come_back) = (ShardId(allowance.shard), allowance.further, allowance.come_back);
-        self.give(Event::Allowance { shard, further, come_back });
+        self.module_input(Event::Allowance { shard, further, come_back });
         true
     }
 
@@ -175,29 +180,29 @@
         match action {
             Action::SetTimer { after, token } => _ = self.timers.insert((self.now + after, token)),
             Action::Send { request, node, .. } => {
-                let further = request.0 < FIRST;
+                let further = request.0 < FIRST_NON_RETRY;
                 if further {
                     self.left = self.left.saturating_sub(1);
                     self.allowances.spend(SHARD);
                 }
-                self.hand(Input::Sent { shard: SHARD, further });
-                self.fates.get_mut(&request.0).unwrap().sent = Some(self.now);
+                self.cap_input(Input::Sent { shard: SHARD, further });
+                self.requests.get_mut(&request.0).unwrap().sent = Some(self.now);
                 if !self.is_silent {
                     self.answers.insert((self.now + 1_000, request, node));
                 }
             }
             Action::Refuse { request, come_back } => {
-                self.wanted += u32::from(request.0 < FIRST && self.left == 0);
-                self.fates.get_mut(&request.0).unwrap().refused = Some((self.now, come_back));
+                self.wanted += u32::from(request.0 < FIRST_NON_RETRY && self.left == 0);
+                self.requests.get_mut(&request.0).unwrap().refused = Some((self.now, come_back));
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, id: u64) {
-        let retry = id < FIRST;
-        self.fates.insert(id, Fate { asked: self.now, sent: None, refused: None });
-        self.give(Event::Request(Request {
+    fn submit(&mut self, id: u64) {
+        let retry = id < FIRST_NON_RETRY;
+        self.requests.insert(id, RequestLog { submitted_at: self.now, sent: None, refused: None });
+        self.module_input(Event::Request(Request {
             id: RequestId(id),
             class: 0,
             plan: 0,
@@ -210,10 +215,10 @@
             retry,
             client: Some(ClientId(id)),
         }));
-        self.settle();
+        self.run_actions();
     }
 
-    fn until(&mut self, end: Micros) {
+    fn run_until(&mut self, end: Micros) {
         loop {
             let answer = self.answers.first().map(|a| a.0);
             let timer = self.timers.first().map(|t| t.0);
@@ -224,11 +229,11 @@
             self.now = self.now.max(next);
             if timer == Some(next) {
                 let (_, token) = self.timers.pop_first().unwrap();
-                self.give(Event::Timer(token));
+                self.module_input(Event::Timer(token));
             } else if answer == Some(next) {
                 let (_, request, node) = self.answers.pop_first().unwrap();
-                self.hand(Input::Ended { shard: SHARD, served: true, refused: false });
-                self.give(Event::Answer(Answer {
+                self.cap_input(Input::Ended { shard: SHARD, served: true, refused: false });
+                self.module_input(Event::Answer(Answer {
                     request,
                     attempt: 0,
                     node,
@@ -239,120 +244,127 @@
                     elsewhere: 0.0,
                 }));
             } else {
-                self.hand(Input::Tick);
+                self.cap_input(Input::Tick);
             }
-            self.settle();
+            self.run_actions();
         }
         self.now = end;
     }
 
     fn refused_after(&self, id: u64) -> Option<Micros> {
-        let fate = self.fates[&id];
-        fate.refused.map(|(at, _)| at - fate.asked)
+        let request_log = self.requests[&id];
+        request_log.refused.map(|(at, _)| at - request_log.submitted_at)
     }
 
-    /// Repeats sent, refused at once, refused after a wait; the longest wait; and the different advices.
-    fn crowd(&self) -> (usize, usize, usize, Micros, usize) {
-        let ids = || 1..=CROWD;
-        let sent = ids().filter(|id| self.fates[id].sent.is_some()).count();
+    /// Of the burst: retries sent, refused at once, refused after a wait; the longest wait; the number of
+    /// different advised delays.
+    fn burst_summary(&self) -> (usize, usize, usize, Micros, usize) {
+        let ids = || 1..=BURST;
+        let sent = ids().filter(|id| self.requests[id].sent.is_some()).count();
         let at_once = ids().filter(|id| self.refused_after(*id) == Some(0)).count();
         let waits: Vec<Micros> = ids().filter_map(|id| self.refused_after(id)).filter(|t| *t > 0).collect();
-        let advices: BTreeSet<Micros> = ids().filter_map(|id| Some(self.fates[&id].refused?.1)).collect();
+        let advices: BTreeSet<Micros> = ids().filter_map(|id| Some(self.requests[&id].refused?.1)).collect();
         (sent, at_once, waits.len(), waits.iter().copied().max().unwrap_or(0), advices.len())
     }
 }
 
-/// Guards against a queue full of repeats at a shard that earns nothing.
+/// Guards against a queue full of retries at a shard that earns no retry tokens.
 #[test]
-fn of_a_crowd_at_a_shard_that_earns_nothing_a_bounded_number_waits_for_a_slice() {
-    let mut joined = Joined::new(0.0);
-    (1..=CROWD).for_each(|id| joined.ask(id));
-    joined.until(joined.now + SECOND);
-    let (sent, at_once, later, longest, advices) = joined.crowd();
+fn a_bounded_number_of_retries_waits_at_a_shard_that_earns_no_tokens() {
+    let mut coupled = Coupled::new(0.0);
+    (1..=BURST).for_each(|id| coupled.submit(id));
+    coupled.run_until(coupled.now + SECOND);
+    let (sent, at_once, later, longest, advices) = coupled.burst_summary();
     println!(
-        "normal: sent {sent}, at once {at_once}, later {later}, longest {longest} us, advices {advices}, most {}, told {}",
-        joined.most_waiting, joined.told
+        "normal: sent {sent}, at once {at_once}, later {later}, longest {longest} us, advices {advices}, most {}, allowances given {}",
+        coupled.max_waiting, coupled.allowances_given
     );
-    assert!(joined.most_waiting <= MOST_WAITING);
-    assert_eq!(sent + at_once + later, CROWD as usize);
-    assert!(sent <= 4 && later <= MOST_WAITING && longest <= SLICE + SLICE / 2, "{sent} {later} {longest}");
+    assert!(coupled.max_waiting <= MAX_WAITING);
+    assert_eq!(sent + at_once + later, BURST as usize);
+    assert!(sent <= 4 && later <= MAX_WAITING && longest <= SLICE + SLICE / 2, "{sent} {later} {longest}");
 }
 
-/// The same at one that recovers: none waits once the cap has spoken.
+/// Guards against retries that wait at a recovering shard: once the cap has reported the recovery, none
+/// waits.
 #[test]
-fn of_a_crowd_at_a_shard_that_recovers_none_waits() {
-    let mut joined = Joined::new(0.0);
-    joined.hand(Input::Recovers { shard: SHARD, on: true });
-    joined.settle();
-    (1..=CROWD).for_each(|id| joined.ask(id));
-    let waiting = joined.waiting;
-    joined.until(joined.now + SECOND);
-    let (sent, at_once, later, longest, advices) = joined.crowd();
+fn no_retry_waits_at_a_recovering_shard() {
+    let mut coupled = Coupled::new(0.0);
+    coupled.cap_input(Input::Recovers { shard: SHARD, on: true });
+    coupled.run_actions();
+    (1..=BURST).for_each(|id| coupled.submit(id));
+    let waiting = coupled.waiting;
+    coupled.run_until(coupled.now + SECOND);
+    let (sent, at_once, later, longest, advices) = coupled.burst_summary();
     println!(
         "recovering: sent {sent}, at once {at_once}, later {later}, longest {longest} us, advices {advices}, most {}",
-        joined.most_waiting
+        coupled.max_waiting
     );
     assert_eq!((waiting, later), (0, 0));
     assert!(sent <= 1, "{sent}");
 }
 
-/// Guards against a queue full of repeats where a right is left and no node takes anything.
+/// Guards against a queue full of retries where a token is left but no node accepts anything.
 #[test]
-fn of_a_crowd_at_a_shard_that_recovers_and_is_full_none_waits() {
-    let mut joined = Joined::new(0.0);
-    joined.is_silent = true;
-    (0..60).for_each(|n| joined.ask(FIRST + n));
-    joined.hand(Input::Recovers { shard: SHARD, on: true });
-    joined.settle();
-    let left = joined.left;
-    (1..=CROWD).for_each(|id| joined.ask(id));
-    let open = (1..=CROWD).filter(|id| joined.fates[id].refused.is_none() && joined.fates[id].sent.is_none());
+fn few_retries_wait_at_a_recovering_shard_whose_nodes_accept_nothing() {
+    let mut coupled = Coupled::new(0.0);
+    coupled.is_silent = true;
+    (0..60).for_each(|n| coupled.submit(FIRST_NON_RETRY + n));
+    coupled.cap_input(Input::Recovers { shard: SHARD, on: true });
+    coupled.run_actions();
+    let left = coupled.left;
+    (1..=BURST).for_each(|id| coupled.submit(id));
+    let open = (1..=BURST)
+        .filter(|id| coupled.requests[id].refused.is_none() && coupled.requests[id].sent.is_none());
     let open = open.count();
-    joined.until(joined.now + SECOND);
-    let (sent, at_once, later, longest, _) = joined.crowd();
-    println!("full: rights {left}, sent {sent}, at once {at_once}, later {later}, longest {longest} us");
-    assert!(open <= MOST_WAITING, "{open} of {CROWD} wait with {left} right left, the longest {longest} us");
+    coupled.run_until(coupled.now + SECOND);
+    let (sent, at_once, later, longest, _) = coupled.burst_summary();
+    println!("full: tokens {left}, sent {sent}, at once {at_once}, later {later}, longest {longest} us");
+    assert!(open <= MAX_WAITING, "{open} of {BURST} wait with {left} tokens left, the longest {longest} us");
 }
 
-/// Guards against a crowd that is sent away together to come back together.
+/// Guards against advised delays that make all refused retries return at the same time.
 #[test]
-fn the_advice_to_a_crowd_is_spread() {
-    let mut joined = Joined::new(0.0);
-    (1..=CROWD).for_each(|id| joined.ask(id));
-    joined.until(joined.now + SECOND);
+fn the_delays_advised_to_a_burst_are_spread() {
+    let mut coupled = Coupled::new(0.0);
+    (1..=BURST).for_each(|id| coupled.submit(id));
+    coupled.run_until(coupled.now + SECOND);
     let mut back: BTreeMap<Micros, u32> = BTreeMap::new();
-    for fate in (1..=CROWD).map(|id| joined.fates[&id]) {
-        if let Some((at, advice)) = fate.refused {
+    for request_log in (1..=BURST).map(|id| coupled.requests[&id]) {
+        if let Some((at, advice)) = request_log.refused {
             *back.entry((at + advice) / SLICE).or_default() += 1;
         }
     }
     let most = back.values().max().copied().unwrap_or(0);
-    assert!(most < CROWD as u32 / 2, "{most} of {CROWD} come back within one slice: {back:?}");
+    assert!(most < BURST as u32 / 2, "{most} of {BURST} return within one slice: {back:?}");
 }
 
-/// Guards against first requests that a crowd of repeats delays.
+/// Guards against first requests that are delayed by a burst of retries.
 #[test]
-fn first_requests_are_sent_as_without_the_crowd() {
-    let waits = |crowd: u64| {
-        let mut joined = Joined::new(0.1);
-        let (mut next, began) = (1, joined.now);
+fn first_requests_are_not_delayed_by_a_burst_of_retries() {
+    let waits = |burst: u64| {
+        let mut coupled = Coupled::new(0.1);
+        let (mut next, began) = (1, coupled.now);
         for n in 0..600 {
-            joined.ask(FIRST + n);
-            (0..crowd / 600).for_each(|_| {
-                joined.ask(next);
+            coupled.submit(FIRST_NON_RETRY + n);
+            (0..burst / 600).for_each(|_| {
+                coupled.submit(next);
                 next += 1;
             });
-            joined.until(began + (n as Micros + 1) * 500);
+            coupled.run_until(began + (n as Micros + 1) * 500);
         }
-        joined.until(joined.now + SECOND);
-        let sent = (0..600)
-            .filter_map(|n| Some(joined.fates[&(FIRST + n)].sent? - joined.fates[&(FIRST + n)].asked));
+        coupled.run_until(coupled.now + SECOND);
+        let sent = (0..600).filter_map(|n| {
+            Some(
+                coupled.requests[&(FIRST_NON_RETRY + n)].sent?
+                    - coupled.requests[&(FIRST_NON_RETRY + n)].submitted_at,
+            )
+        });
         let waits: Vec<Micros> = sent.collect();
         println!(
-            "crowd {crowd}: {} sent, told {} allowances, most waiting {}",
+            "burst {burst}: {} sent, {} allowances given, most waiting {}",
             waits.len(),
-            joined.told,
-            joined.most_waiting
+            coupled.allowances_given,
+            coupled.max_waiting
         );
         (waits.len(), waits.iter().sum::<Micros>(), waits.iter().copied().max().unwrap_or(0))
     };
@@ -362,17 +374,18 @@
     assert!(with.2 <= without.2 + 2_000, "{without:?} {with:?}");
 }
 
-/// Guards against a send that a copy in the shadow has taken the right of: what the module holds is no more than the account.
+/// Guards against sending more than the account allows after a shadow copy has used a retry token: the
+/// module's allowance must shrink too.
 #[test]
-fn a_copy_in_the_shadow_takes_its_right_from_the_module_too() {
-    let mut joined = Joined::new(0.0);
-    // The engine's `bears_copy` and `copied`.
-    assert_eq!(joined.allowances.left(SHARD), Some(4));
-    joined.allowances.take(SHARD);
-    joined.hand(Input::Sent { shard: SHARD, further: true });
-    joined.settle();
-    (1..=8).for_each(|id| joined.ask(id));
+fn a_shadow_copy_reduces_the_allowance_of_the_module_too() {
+    let mut coupled = Coupled::new(0.0);
+    // As in the engine's `allows_copy` and `copy_sent`.
+    assert_eq!(coupled.allowances.left(SHARD), Some(4));
+    coupled.allowances.take(SHARD);
+    coupled.cap_input(Input::Sent { shard: SHARD, further: true });
+    coupled.run_actions();
+    (1..=8).for_each(|id| coupled.submit(id));
     let (sent, ..) =
-        (1..=8).fold((0, ()), |(n, ()), id| (n + u32::from(joined.fates[&id].sent.is_some()), ()));
-    assert_eq!(sent + 1, 4, "sends with a right, the copy included, of a part of four");
+        (1..=8).fold((0, ()), |(n, ()), id| (n + u32::from(coupled.requests[&id].sent.is_some()), ()));
+    assert_eq!(sent + 1, 4, "sends with a token, including the copy, of an allowance of four");
 }
--- a/crates/interleavings/tests/entry.rs
+++ b/crates/interleavings/tests/entry.rs
@@ -2,14 +2,14 @@
 
 extern crate interleavings as sync;
 
-#[path = "../../gateway/src/entry.rs"]
-mod entry;
+#[path = "../../gateway/src/registration.rs"]
+mod registration;
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr};
 
-use entry::enter;
 use limits::{ConnectionId, Gate, GateOptions, Opened};
+use registration::register;
 use sync::checker::{Plant, caught, check};
 use sync::{Arc, Mutex, handover, lock, thread};
 
@@ -43,7 +43,7 @@
     let gives = Arc::new(gives);
     assert_eq!(lock(&gate).open(0, first, from), Opened::Kept);
     let (own, tells) = (gate.clone(), gives.clone());
-    let serves = thread::spawn(move || enter(&own, first, || assert!(tells.give(Message::Opened(first)))));
+    let serves = thread::spawn(move || register(&own, first, || assert!(tells.give(Message::Opened(first)))));
     assert_eq!(lock(&gate).open(0, second, from), Opened::InPlaceOf(first));
     gives.give(Message::Evict(first));
     drop(gives);
--- a/crates/interleavings/tests/journal.rs
+++ b/crates/interleavings/tests/journal.rs
@@ -2,10 +2,10 @@
 
 extern crate interleavings as sync;
 
-#[path = "../../gateway/src/journal.rs"]
-mod journal;
+#[path = "../../gateway/src/journal_writer.rs"]
+mod journal_writer;
 
-use journal::{Job, Keeps, keep};
+use journal_writer::{Job, RecordStore, run};
 use sync::checker::{Plant, caught, check};
 use sync::{Arc, Mutex, handover, lock, thread};
 
@@ -26,7 +26,7 @@
 
 struct Log(Shared);
 
-impl Keeps for Log {
+impl RecordStore for Log {
     type Error = String;
 
     fn append(&mut self, record: &[u8]) -> Result<(), String> {
@@ -73,10 +73,10 @@
     let own = disk.clone();
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
-        keep(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
+        run(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
     });
     for seq in 1..=3 {
-        assert!(jobs.give(Job::Keep(seq, vec![record(seq)])));
+        assert!(jobs.give(Job::Append(seq, vec![record(seq)])));
     }
     drop(jobs);
     thread.join().expect("it kept");
@@ -94,17 +94,17 @@
     let own = disk.clone();
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
-        keep(&taken, &mut log, |seqs, error| {
+        run(&taken, &mut log, |seqs, error| {
             assert!(acknowledges.give(seqs.clone()));
             tell(&own, seqs, error);
         });
     });
-    jobs.give(Job::Keep(1, vec![record(1)]));
+    jobs.give(Job::Append(1, vec![record(1)]));
     assert_eq!(acknowledged.take(), Some(vec![1]));
     // What nobody waits for, and the journal written anew: none of it is acknowledged.
-    jobs.give(Job::Keep(0, vec![record(7)]));
-    jobs.give(Job::Anew(vec![record(9)]));
-    jobs.give(Job::Keep(2, vec![record(2)]));
+    jobs.give(Job::Append(0, vec![record(7)]));
+    jobs.give(Job::Rewrite(vec![record(9)]));
+    jobs.give(Job::Append(2, vec![record(2)]));
     assert_eq!(acknowledged.take(), Some(vec![2]));
     drop(jobs);
     thread.join().expect("it kept");
@@ -119,12 +119,12 @@
     let (own, other) = (disk.clone(), jobs.clone());
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
-        keep(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
+        run(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
     });
     let give = |jobs: &Mutex<(u64, sync::Giver<Job>)>| {
         let mut jobs = lock(jobs);
         jobs.0 += 1;
-        jobs.1.give(Job::Keep(jobs.0, vec![record(jobs.0)]));
+        jobs.1.give(Job::Append(jobs.0, vec![record(jobs.0)]));
     };
     let gives = thread::spawn(move || give(&other));
     give(&jobs);
