--- /dev/null
+++ b/crates/gateway/tests/path/main.rs
@@ -0,0 +1,8 @@
+//! End-to-end tests on loopback: hosts, the gateway and emulated nodes, with a test for each failure on the
+//! path.
+
+mod bed;
+mod clients;
+mod data;
+mod limits;
+mod nodes;
