--- a/crates/interleavings/tests/spill.rs
+++ b/crates/interleavings/tests/spill.rs
@@ -2,14 +2,14 @@
 
 extern crate interleavings as sync;
 
-#[path = "../../transport/src/spill.rs"]
-mod spill;
+#[path = "../../transport/src/send_buffer.rs"]
+mod send_buffer;
 
 use std::io;
 use std::net::Shutdown;
 
 use gather::{GatherList, PduSink};
-use spill::{Spill, Way};
+use send_buffer::{SendBuffer, WriteSide};
 use sync::checker::{Plant, caught, check};
 use sync::{Arc, Mutex, MutexGuard, lock, thread};
 
@@ -44,7 +44,7 @@
     }
 }
 
-impl Way for Socket {
+impl WriteSide for Socket {
     fn write_now(&self, rest: &mut GatherList) -> io::Result<()> {
         let mut wire = self.wire();
         let taken = rest.take(wire.room);
@@ -52,7 +52,7 @@
         if taken.is_empty() { Ok(()) } else { wire.write(&taken) }
     }
 
-    fn shut(&self, how: Shutdown) {
+    fn shut_down(&self, how: Shutdown) {
         let mut wire = self.wire();
         wire.shut = Some(if wire.shut == Some(Shutdown::Both) { Shutdown::Both } else { how });
     }
@@ -60,22 +60,22 @@
 
 /// A spill with its writers, as `Outlet` has them.
 struct Outlet {
-    spill: Spill<Socket>,
+    send_buffer: SendBuffer<Socket>,
     writers: Mutex<Vec<thread::JoinHandle<()>>>,
 }
 
 impl Outlet {
     fn new(room: usize, breaks_at: Option<usize>) -> Arc<Outlet> {
         let wire = Wire { room, breaks_at, ..Wire::default() };
-        let spill = Spill::new(Socket(Mutex::new(wire)), 100);
-        Arc::new(Outlet { spill, writers: Mutex::new(Vec::new()) })
+        let send_buffer = SendBuffer::new(Socket(Mutex::new(wire)), 100);
+        Arc::new(Outlet { send_buffer, writers: Mutex::new(Vec::new()) })
     }
 
     /// One whose owner flushes again what has no writer.
     fn retried(room: usize) -> Arc<Outlet> {
         let wire = Wire { room, ..Wire::default() };
-        let spill = Spill::new(Socket(Mutex::new(wire)), 100).retried();
-        Arc::new(Outlet { spill, writers: Mutex::new(Vec::new()) })
+        let send_buffer = SendBuffer::new(Socket(Mutex::new(wire)), 100).with_owner_flushes();
+        Arc::new(Outlet { send_buffer, writers: Mutex::new(Vec::new()) })
     }
 }
 
@@ -85,7 +85,7 @@
 }
 
 fn append(outlet: &Outlet, bytes: &[u8]) {
-    outlet.spill.append(|rest| rest.copy(bytes));
+    outlet.send_buffer.append(|rest| rest.copy(bytes));
 }
 
 fn start(outlet: &Arc<Outlet>) -> io::Result<()> {
@@ -96,20 +96,20 @@
 }
 
 fn drain(outlet: &Outlet) {
-    while let Some(chunk) = outlet.spill.next(2) {
-        let written = outlet.spill.way().wire().write(&chunk);
+    while let Some(chunk) = outlet.send_buffer.next_chunk(2) {
+        let written = outlet.send_buffer.socket().wire().write(&chunk);
         if written.is_err() {
-            outlet.spill.failed();
+            outlet.send_buffer.writer_failed();
         }
     }
 }
 
 fn flush(outlet: &Arc<Outlet>) {
-    outlet.spill.flush(|| start(outlet));
+    outlet.send_buffer.flush(|| start(outlet));
 }
 
 fn last(outlet: &Arc<Outlet>, how: Shutdown) {
-    outlet.spill.last(how, || start(outlet));
+    outlet.send_buffer.shutdown_when_written(how, || start(outlet));
 }
 
 /// Waits until all writers have ended; what the peer has.
@@ -119,15 +119,15 @@
         match writer {
             Some(writer) => writer.join().expect("it wrote"),
             None => {
-                assert!(!outlet.spill.is_pending(), "it says that something is under way for ever");
-                return outlet.spill.way().wire().bytes.clone();
+                assert!(!outlet.send_buffer.is_pending(), "it says that something is under way for ever");
+                return outlet.send_buffer.socket().wire().bytes.clone();
             }
         }
     }
 }
 
 fn is_shut(outlet: &Outlet) -> Option<Shutdown> {
-    outlet.spill.way().wire().shut
+    outlet.send_buffer.socket().wire().shut
 }
 
 /// Two answers, of which the socket takes a part at once; then it is finished by the thread that appended.
@@ -138,14 +138,14 @@
         flush(&outlet);
     }
     // Who closes when nothing is said to be under way must not cut anything off.
-    if !outlet.spill.is_pending() {
-        assert_eq!(outlet.spill.way().wire().bytes, b"abcdef");
+    if !outlet.send_buffer.is_pending() {
+        assert_eq!(outlet.send_buffer.socket().wire().bytes, b"abcdef");
     }
     last(&outlet, how);
-    assert!(!outlet.spill.append(|rest| rest.copy(b"late")));
+    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")));
     assert_eq!(settle(&outlet), b"abcdef", "what was accepted was not written once and in order");
     assert_eq!(is_shut(&outlet), Some(how));
-    assert!(!outlet.spill.was_cut() || how == Shutdown::Both, "nothing was cut");
+    assert!(!outlet.send_buffer.was_cut() || how == Shutdown::Both, "nothing was cut");
 }
 
 /// The engine appends and flushes in two steps, while the reader finishes.
@@ -158,14 +158,14 @@
     reader.join().expect("it finished");
     assert_eq!(settle(&outlet), b"abc", "what was accepted was not written once and in order");
     assert_eq!(is_shut(&outlet), Some(how));
-    assert!(!outlet.spill.was_cut(), "nothing was cut");
+    assert!(!outlet.send_buffer.was_cut(), "nothing was cut");
 }
 
 /// Two threads answer; a third closes.
 fn closed_between() {
     let outlet = Outlet::new(1, None);
     let own = outlet.clone();
-    let closer = thread::spawn(move || own.spill.close());
+    let closer = thread::spawn(move || own.send_buffer.close());
     append(&outlet, b"abc");
     flush(&outlet);
     append(&outlet, b"def");
@@ -174,9 +174,9 @@
     let seen = settle(&outlet);
     assert!(b"abcdef".starts_with(&seen), "the peer got {seen:?}, which is no beginning of what was sent");
     assert_eq!(is_shut(&outlet), Some(Shutdown::Both));
-    assert!(!outlet.spill.append(|rest| rest.copy(b"late")), "something is kept after the close");
-    assert!(!outlet.spill.was_cut() || seen != b"abcdef", "all was written, and yet it was cut");
-    outlet.spill.flush(|| panic!("a writer after the close"));
+    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")), "something is kept after the close");
+    assert!(!outlet.send_buffer.was_cut() || seen != b"abcdef", "all was written, and yet it was cut");
+    outlet.send_buffer.flush(|| panic!("a writer after the close"));
     assert_eq!(settle(&outlet), seen, "something is written after the close");
 }
 
@@ -184,10 +184,10 @@
 fn appended_after() {
     let outlet = Outlet::new(100, None);
     let own = outlet.clone();
-    let closer = thread::spawn(move || own.spill.close());
+    let closer = thread::spawn(move || own.send_buffer.close());
     append(&outlet, b"abc");
     closer.join().expect("it closed");
-    assert!(!outlet.spill.append(|rest| rest.copy(b"late")), "something is kept after the close");
+    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")), "something is kept after the close");
 }
 
 /// The connection breaks under the writer while more is appended.
@@ -199,7 +199,7 @@
     flush(&outlet);
     let seen = settle(&outlet);
     assert!(b"abcd".starts_with(&seen) && seen.len() < 3);
-    assert!(outlet.spill.was_cut(), "bytes were lost and it was not cut");
+    assert!(outlet.send_buffer.was_cut(), "bytes were lost and it was not cut");
     assert_eq!(is_shut(&outlet), Some(Shutdown::Both));
 }
 
@@ -207,15 +207,15 @@
 fn starved_at_first(how: Shutdown) {
     let outlet = Outlet::retried(1);
     append(&outlet, b"abc");
-    outlet.spill.flush(refuse);
-    assert!(outlet.spill.is_starved(), "what has no writer is not told");
+    outlet.send_buffer.flush(refuse);
+    assert!(outlet.send_buffer.is_starved(), "what has no writer is not told");
     append(&outlet, b"def");
-    outlet.spill.last(how, refuse);
+    outlet.send_buffer.shutdown_when_written(how, refuse);
     assert_eq!(is_shut(&outlet), None, "it was closed over what waits");
     let own = outlet.clone();
-    let looks = thread::spawn(move || own.spill.is_starved());
+    let looks = thread::spawn(move || own.send_buffer.is_starved());
     flush(&outlet);
-    assert!(!outlet.spill.is_starved(), "it has a writer");
+    assert!(!outlet.send_buffer.is_starved(), "it has a writer");
     looks.join().expect("it looked");
     assert_eq!(settle(&outlet), b"abcdef", "what was accepted was not written once and in order");
     assert_eq!(is_shut(&outlet), Some(how));
@@ -225,10 +225,10 @@
 fn starved_to_its_end(how: Shutdown) {
     let outlet = Outlet::retried(1);
     append(&outlet, b"abc");
-    outlet.spill.last(how, refuse);
-    while outlet.spill.is_starved() {
-        outlet.spill.way().wire().room = 1;
-        outlet.spill.flush(refuse);
+    outlet.send_buffer.shutdown_when_written(how, refuse);
+    while outlet.send_buffer.is_starved() {
+        outlet.send_buffer.socket().wire().room = 1;
+        outlet.send_buffer.flush(refuse);
     }
     assert_eq!(settle(&outlet), b"abc");
     assert_eq!(is_shut(&outlet), Some(how), "it was not closed behind the last byte");
--- a/crates/interleavings/tests/wake.rs
+++ b/crates/interleavings/tests/wake.rs
@@ -13,7 +13,7 @@
 use records::Micros;
 use sync::checker::{Plant, caught, check};
 use sync::{Arc, Giver, Taker, handover, planted, thread};
-use wake::{AGAIN, LONGEST, Wake};
+use wake::{MAX_SLEEP, REPEAT_INTERVAL, Wake};
 
 /// Sets and stops as `Ticker` does.
 struct Ticker {
@@ -32,7 +32,7 @@
     }
 
     fn due(&self, at: Micros) {
-        if self.wake.set(at) {
+        if self.wake.set_due(at) {
             self.thread.thread().unpark();
         }
     }
@@ -53,7 +53,7 @@
     let now = || clock.load(Ordering::Relaxed);
     let tick = || assert!(ticked.give(now()), "nobody takes the tick");
     let sleep = |span: Micros| {
-        assert!((1..=LONGEST).contains(&span), "it would sleep for {span}");
+        assert!((1..=MAX_SLEEP).contains(&span), "it would sleep for {span}");
         if now() + span <= passes {
             clock.fetch_add(span, Ordering::Relaxed);
         } else {
@@ -85,7 +85,7 @@
 /// It sleeps until the earlier of two times, in whichever order they are set.
 fn due_earlier() {
     let ticker = Ticker::start(50);
-    ticker.due(LONGEST * 2);
+    ticker.due(MAX_SLEEP * 2);
     ticker.due(50);
     let at = ticker.ticks.take();
     assert_eq!(at, Some(50), "it ticked at {at:?}");
@@ -94,10 +94,10 @@
 
 /// A tick that is not handled is repeated.
 fn not_handled() {
-    let ticker = Ticker::start(AGAIN);
+    let ticker = Ticker::start(REPEAT_INTERVAL);
     ticker.due(0);
     assert_eq!(ticker.ticks.take(), Some(0));
-    assert_eq!(ticker.ticks.take(), Some(AGAIN));
+    assert_eq!(ticker.ticks.take(), Some(REPEAT_INTERVAL));
     ticker.due(Micros::MAX);
     ticker.stop();
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,11 @@
-//! Sockets under coroutines, as every front and link of the program uses them: the way out that never makes its user wait,
-//! and the thread that keeps the time. It knows no protocol and decides nothing.
+//! Sockets for coroutines, as used by all client and node connections: an outgoing buffer that never blocks
+//! its user, and the thread that keeps time. This crate knows no protocol and decides nothing.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod outlet;
-mod spill;
+mod send_buffer;
 mod thread_times;
 mod ticker;
 mod wake;
--- a/crates/transport/src/outlet.rs
+++ b/crates/transport/src/outlet.rs
@@ -1,4 +1,4 @@
-//! A connection's way out, which never makes its user wait.
+//! The outgoing side of a connection, which never blocks its user.
 
 use std::io::{self, ErrorKind, IoSlice, Write};
 use std::net::{Shutdown, TcpStream};
@@ -8,119 +8,126 @@
 use gather::GatherList;
 use may::io::CoIo;
 
-use crate::spill::{Spill, Way};
+use crate::send_buffer::{SendBuffer, WriteSide};
 
-/// Pieces handed to the system in one call.
-const PIECES: usize = 64;
-/// Bytes that the writer of a rest takes at a time.
-const CHUNK: usize = 64 * 1024;
+/// Most slices passed to the system in one call.
+const MAX_SLICES: usize = 64;
+/// Bytes that the writer coroutine takes at a time.
+const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Writes at once as far as the socket takes it; the rest is written by a coroutine that lives as long as there is a
-/// rest. Danger: a peer that stops reading must hold up nobody else. What is kept for it is bounded; beyond that its
-/// connection is closed. Harm: a peer slower than its own answers for long loses its connection.
+/// Writes as much as the socket accepts immediately. The remainder is written by a coroutine that lives as
+/// long as there is a remainder.
+///
+/// A peer that stops reading must not hold up anyone else, so the data buffered for it is limited; beyond the
+/// limit its connection is closed. The cost is that a peer which stays slower than its own answers for long
+/// loses its connection.
 #[derive(Debug)]
 pub struct Outlet {
-    spill: Spill<Socket>,
+    send_buffer: SendBuffer<Socket>,
 }
 
-/// The connection's socket, which does not block.
+/// The connection's non-blocking socket.
 #[derive(Debug)]
 struct Socket(Arc<TcpStream>);
 
 impl Outlet {
-    /// The way out of a connection of the runtime's, on a second descriptor. `limit`: most bytes kept.
+    /// The outlet of a connection of the coroutine runtime, on a duplicated descriptor. `limit` is the most
+    /// bytes buffered.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    ///
+    /// No descriptor is left.
     pub fn new(stream: &may::net::TcpStream, limit: usize) -> io::Result<Self> {
         Ok(Outlet::over(Arc::new(stream.inner().try_clone()?), limit))
     }
 
-    /// The way out of a connection that shares its descriptor with whoever reads. Its socket must not block.
+    /// The outlet of a connection whose descriptor is shared with its reader. The socket must be
+    /// non-blocking.
     pub fn over(stream: Arc<TcpStream>, limit: usize) -> Self {
-        Outlet { spill: Spill::new(Socket(stream), limit) }
+        Outlet { send_buffer: SendBuffer::new(Socket(stream), limit) }
     }
 
-    /// The same for an owner that flushes again, by and by, whatever [is starved](Outlet::is_starved).
+    /// Like [`Outlet::over`], for an owner that regularly flushes any outlet that [is
+    /// starved](Outlet::is_starved).
     pub fn retried(stream: Arc<TcpStream>, limit: usize) -> Self {
-        Outlet { spill: Spill::new(Socket(stream), limit).retried() }
+        Outlet { send_buffer: SendBuffer::new(Socket(stream), limit).with_owner_flushes() }
     }
 
-    /// Whether something waits that no writer could be started for: there was no descriptor.
+    /// Whether data waits for which no writer could be started for lack of a descriptor.
     pub fn is_starved(&self) -> bool {
-        self.spill.is_starved()
+        self.send_buffer.is_starved()
     }
 
-    /// Whether the connection was closed, or broke, with something unwritten. It says so only if that is sure.
+    /// Whether the connection was closed or broke with data certainly unwritten.
     pub fn was_cut(&self) -> bool {
-        self.spill.was_cut()
+        self.send_buffer.was_cut()
     }
 
-    /// Whether something that was to be written may not have been taken by the system yet.
+    /// Whether some data may not have been accepted by the system yet.
     pub fn is_pending(&self) -> bool {
-        self.spill.is_pending()
+        self.send_buffer.is_pending()
     }
 
-    /// Writes bytes, now or by and by, in the order of the calls.
+    /// Writes bytes, immediately or later, in the order of the calls.
     pub fn push(self: &Arc<Self>, bytes: GatherList) {
         if !bytes.is_empty() {
-            self.append(|rest| rest.append(bytes));
+            self.append(|pending| pending.append(bytes));
             self.flush();
         }
     }
 
-    /// Appends bytes that go out with the next [`Outlet::flush`]. Whether one is due: many answers of one batch then
-    /// cost one call into the system.
+    /// Buffers bytes until the next [`Outlet::flush`]. Returns whether a flush is needed, so that many
+    /// answers of one batch cost a single system call.
     pub fn append(&self, write: impl FnOnce(&mut GatherList)) -> bool {
-        self.spill.append(write)
+        self.send_buffer.append(write)
     }
 
-    /// Writes what was appended, as far as the socket takes it.
+    /// Writes the buffered data, as far as the socket accepts it.
     pub fn flush(self: &Arc<Self>) {
-        self.spill.flush(|| self.start());
+        self.send_buffer.flush(|| self.start_writer());
     }
 
-    /// Closes once everything appended so far is written.
+    /// Closes the connection once everything buffered so far is written.
     pub fn finish(self: &Arc<Self>) {
-        self.spill.last(Shutdown::Both, || self.start());
+        self.send_buffer.shutdown_when_written(Shutdown::Both, || self.start_writer());
     }
 
-    /// Says that nothing more will be written, once everything appended so far is. The other way stays open.
+    /// Shuts down the writing side once everything buffered so far is written. The reading side stays open.
     pub fn end_writing(self: &Arc<Self>) {
-        self.spill.last(Shutdown::Write, || self.start());
+        self.send_buffer.shutdown_when_written(Shutdown::Write, || self.start_writer());
     }
 
-    /// Closes now.
+    /// Closes the connection immediately, discarding buffered data.
     pub fn close(&self) {
-        self.spill.close();
+        self.send_buffer.close();
     }
 
-    fn start(self: &Arc<Self>) -> io::Result<()> {
+    fn start_writer(self: &Arc<Self>) -> io::Result<()> {
         let outlet = self.clone();
-        // The writer waits on a descriptor of its own: the reader may be waiting on the other.
-        let own = Arc::new(self.spill.way().0.try_clone()?);
-        let waits = CoIo::new(Held(own.clone())).map_err(io::Error::from)?;
+        // The writer waits on a descriptor of its own, because the reader may be waiting on the other one.
+        let descriptor = Arc::new(self.send_buffer.socket().0.try_clone()?);
+        let writer = CoIo::new(Held(descriptor.clone())).map_err(io::Error::from)?;
         task::spawn("outlet", move || {
-            outlet.drain(waits);
-            drop(own);
+            outlet.write_pending(writer);
+            drop(descriptor);
         })
     }
 
-    fn drain(&self, mut own: CoIo<Held>) {
-        while let Some(chunk) = self.spill.next(CHUNK) {
-            if own.write_all(&chunk).is_err() {
-                self.spill.failed();
+    fn write_pending(&self, mut writer: CoIo<Held>) {
+        while let Some(chunk) = self.send_buffer.next_chunk(CHUNK_BYTES) {
+            if writer.write_all(&chunk).is_err() {
+                self.send_buffer.writer_failed();
             }
         }
     }
 }
 
-impl Way for Socket {
-    fn write_now(&self, rest: &mut GatherList) -> io::Result<()> {
-        write_now(&self.0, rest)
+impl WriteSide for Socket {
+    fn write_now(&self, pending: &mut GatherList) -> io::Result<()> {
+        write_now(&self.0, pending)
     }
 
-    fn shut(&self, how: Shutdown) {
+    fn shut_down(&self, how: Shutdown) {
         // The peer may have gone already; then there is nothing left to close.
         let _ = self.0.shutdown(how);
     }
@@ -128,9 +135,10 @@
 
 /// A descriptor that outlives its registration with the runtime.
 ///
-/// Danger: `CoIo` closes its descriptor before it takes it out of the poller. As the connection's other descriptor keeps the
-/// socket open, the registration would stay, and its events would name a coroutine that is gone (seen as a crash of the
-/// process under load). So another owner keeps the descriptor open until the `CoIo` is gone.
+/// `CoIo` closes its descriptor before it deregisters it from the poller. Since the connection's other
+/// descriptor keeps the socket open, the registration would remain, and its events would refer to a coroutine
+/// that no longer exists (seen as a crash of the process under load). Therefore a second owner keeps the
+/// descriptor open until the `CoIo` is gone.
 #[derive(Debug)]
 pub struct Held(pub Arc<TcpStream>);
 
@@ -150,14 +158,14 @@
     }
 }
 
-/// Writes what the socket takes without waiting.
-fn write_now(mut stream: &TcpStream, rest: &mut GatherList) -> io::Result<()> {
-    while !rest.is_empty() {
-        let mut slices = [IoSlice::new(&[]); PIECES];
-        let count = rest.slices(&mut slices);
+/// Writes as much as the socket accepts without blocking.
+fn write_now(mut stream: &TcpStream, pending: &mut GatherList) -> io::Result<()> {
+    while !pending.is_empty() {
+        let mut slices = [IoSlice::new(&[]); MAX_SLICES];
+        let count = pending.slices(&mut slices);
         match stream.write_vectored(&slices[..count]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => rest.advance(n),
+            Ok(n) => pending.advance(n),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
--- a/crates/transport/src/send_buffer.rs
+++ b/crates/transport/src/send_buffer.rs
@@ -1,4 +1,4 @@
-//! What waits on a connection's way out, and who writes it; without the socket and without the runtime.
+//! The buffer of a connection's outgoing data and its writer, independent of the socket and the runtime.
 
 use std::io;
 use std::net::Shutdown;
@@ -7,182 +7,187 @@
 use gather::GatherList;
 use sync::{Mutex, MutexGuard, lock, planted};
 
-/// The socket as the spill sees it. Neither waits.
-pub(crate) trait Way {
-    /// Writes as far as the socket takes it.
-    fn write_now(&self, rest: &mut GatherList) -> io::Result<()>;
+/// The socket as the buffer sees it. No operation blocks.
+pub(crate) trait WriteSide {
+    /// Writes as much as the socket accepts.
+    fn write_now(&self, pending: &mut GatherList) -> io::Result<()>;
 
-    /// Shuts it down.
-    fn shut(&self, how: Shutdown);
+    /// Shuts the socket down.
+    fn shut_down(&self, how: Shutdown);
 }
 
-/// Bytes on their way out, in the order in which they were appended, between whoever appends and at most one writer.
+/// A buffer of outgoing bytes in the order in which they were appended, shared by the appending threads and
+/// at most one writer.
 ///
-/// Whatever was accepted is written once, in order, until the connection is closed; after a shutdown nothing is written.
+/// Every accepted byte is written once and in order until the connection is closed; nothing is written after
+/// a shutdown.
 #[derive(Debug)]
-pub(crate) struct Spill<W> {
-    way: W,
-    /// Most bytes kept.
+pub(crate) struct SendBuffer<S> {
+    socket: S,
+    /// Most bytes buffered.
     limit: usize,
-    /// Its owner flushes again what has no writer.
-    is_retried: bool,
+    /// The owner flushes again when data has no writer.
+    owner_flushes_again: bool,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    rest: GatherList,
-    /// A writer is writing the rest.
+    pending: GatherList,
+    /// Whether a writer is writing the buffered data.
     writing: bool,
     closed: bool,
-    /// Something was not written when it closed.
+    /// Whether data was unwritten when the connection closed.
     cut: bool,
-    /// What to close once the rest is written.
-    last: Option<Shutdown>,
+    /// What to shut down once everything is written.
+    shutdown_when_written: Option<Shutdown>,
 }
 
-impl<W: Way> Spill<W> {
-    pub(crate) fn new(way: W, limit: usize) -> Self {
-        Spill { way, limit, is_retried: false, state: Mutex::new(State::default()) }
+impl<S: WriteSide> SendBuffer<S> {
+    pub(crate) fn new(socket: S, limit: usize) -> Self {
+        SendBuffer { socket, limit, owner_flushes_again: false, state: Mutex::new(State::default()) }
     }
 
-    /// The same, whose owner flushes again what has no writer.
-    pub(crate) fn retried(self) -> Self {
-        Spill { is_retried: true, ..self }
+    /// Like `new`, for an owner that flushes again when data has no writer.
+    pub(crate) fn with_owner_flushes(self) -> Self {
+        SendBuffer { owner_flushes_again: true, ..self }
     }
 
-    /// Whether something waits that nobody writes: it is to be flushed again.
+    /// Whether data waits without a writer and has to be flushed again.
     pub(crate) fn is_starved(&self) -> bool {
         let state = self.state();
-        !state.closed && !state.writing && !state.rest.is_empty()
+        !state.closed && !state.writing && !state.pending.is_empty()
     }
 
-    pub(crate) fn way(&self) -> &W {
-        &self.way
+    pub(crate) fn socket(&self) -> &S {
+        &self.socket
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
 
-    /// Whether the connection was closed, or broke, with something unwritten.
+    /// Whether the connection was closed or broke with data unwritten.
     pub(crate) fn was_cut(&self) -> bool {
         self.state().cut
     }
 
-    /// Whether something that was appended may not have gone out.
+    /// Whether some appended data may not have been written.
     pub(crate) fn is_pending(&self) -> bool {
         let state = self.state();
-        state.writing || !state.rest.is_empty()
+        state.writing || !state.pending.is_empty()
     }
 
-    /// Appends bytes that go out with the next [`Spill::flush`]. Whether one is due.
+    /// Buffers bytes until the next flush. Returns whether a flush is needed.
     pub(crate) fn append(&self, write: impl FnOnce(&mut GatherList)) -> bool {
         let mut state = self.state();
-        if (state.closed || state.last.is_some()) && !planted!(SpillAfterClose) {
+        if (state.closed || state.shutdown_when_written.is_some()) && !planted!(SpillAfterClose) {
             return false;
         }
-        let first = state.rest.is_empty();
-        write(&mut state.rest);
-        if state.rest.len() > self.limit {
-            tracing::warn!(limit = self.limit, "a peer does not read its answers; its connection is closed");
-            self.shut(&mut state);
+        let was_empty = state.pending.is_empty();
+        write(&mut state.pending);
+        if state.pending.len() > self.limit {
+            tracing::warn!(limit = self.limit, "a peer does not read its answers; closing its connection");
+            self.close_now(&mut state);
         }
-        first && !state.writing
+        was_empty && !state.writing
     }
 
-    /// Writes what was appended, as far as the socket takes it. `start` starts a writer for the rest ([`Spill::next`]); it is
-    /// called under the lock and must not wait.
+    /// Writes the buffered data, as far as the socket accepts it. `start` starts a writer for the remainder,
+    /// which calls `next_chunk`; `start` is called under the lock and must not block.
     pub(crate) fn flush(&self, start: impl FnOnce() -> io::Result<()>) {
         let mut state = self.state();
         if state.closed || (state.writing && !planted!(TwoWriters)) {
             return;
         }
-        match self.way.write_now(&mut state.rest) {
-            Ok(()) if state.rest.is_empty() => {
-                if let Some(how) = state.last.filter(|_| self.is_retried) {
-                    self.end(&mut state, how);
+        match self.socket.write_now(&mut state.pending) {
+            Ok(()) if state.pending.is_empty() => {
+                if let Some(how) = state.shutdown_when_written.filter(|_| self.owner_flushes_again) {
+                    self.shut_down(&mut state, how);
                 }
             }
-            Ok(()) => self.begin(&mut state, start),
-            Err(_) => self.shut(&mut state),
+            Ok(()) => self.start_writer(&mut state, start),
+            Err(_) => self.close_now(&mut state),
         }
     }
 
-    /// Danger: a writer takes a descriptor of its own, and answers were cut off where none was left. What has no writer is kept for the
-    /// next flush where the owner sees to that. Harm: it goes out as often as the owner looks.
-    fn begin(&self, state: &mut State, start: impl FnOnce() -> io::Result<()>) {
+    /// Starts a writer for the remaining data. A writer needs a descriptor of its own, and answers were cut
+    /// off when none was left. If the owner flushes again, data without a writer is kept for its next flush;
+    /// the cost is that it is written only as often as the owner flushes.
+    fn start_writer(&self, state: &mut State, start: impl FnOnce() -> io::Result<()>) {
         state.writing = true;
         if let Err(error) = start() {
             state.writing = false;
-            if self.is_retried {
-                tracing::debug!(%error, "no writer for a slow connection; what waits is flushed again");
+            if self.owner_flushes_again {
+                tracing::debug!(%error, "cannot start a writer for a slow connection; flushing again later");
             } else {
-                tracing::warn!(%error, "no writer for a slow connection; it is closed");
-                self.shut(state);
+                tracing::warn!(%error, "cannot start a writer for a slow connection; closing it");
+                self.close_now(state);
             }
         }
     }
 
-    /// Closes one way or both, once everything appended so far is written. `start` as in [`Spill::flush`].
-    pub(crate) fn last(&self, how: Shutdown, start: impl FnOnce() -> io::Result<()>) {
+    /// Shuts down one side or both, once everything appended so far is written. `start` is used as in
+    /// `flush`.
+    pub(crate) fn shutdown_when_written(&self, how: Shutdown, start: impl FnOnce() -> io::Result<()>) {
         let mut state = self.state();
-        state.last = Some(how);
+        state.shutdown_when_written = Some(how);
         if !state.closed && !state.writing {
-            // Danger: what was appended and not flushed yet, and which the socket does not take at once, would be lost with
-            // the shutdown. Harm: a writer for it, as for any rest.
-            match self.way.write_now(&mut state.rest) {
-                Ok(()) if state.rest.is_empty() || planted!(FinishDrops) => {}
-                Ok(()) => self.begin(&mut state, start),
-                Err(_) => self.shut(&mut state),
+            // Data that was appended but not flushed yet, and that the socket does not accept immediately,
+            // would be lost with the shutdown; it gets a writer like any remainder.
+            match self.socket.write_now(&mut state.pending) {
+                Ok(()) if state.pending.is_empty() || planted!(FinishDrops) => {}
+                Ok(()) => self.start_writer(&mut state, start),
+                Err(_) => self.close_now(&mut state),
             }
         }
-        let is_kept = self.is_retried && !state.rest.is_empty();
-        if !state.writing && !is_kept {
-            self.end(&mut state, how);
+        let is_kept_for_owner = self.owner_flushes_again && !state.pending.is_empty();
+        if !state.writing && !is_kept_for_owner {
+            self.shut_down(&mut state, how);
         }
     }
 
-    /// Closes now.
+    /// Closes immediately.
     pub(crate) fn close(&self) {
-        self.shut(&mut self.state());
+        self.close_now(&mut self.state());
     }
 
-    fn shut(&self, state: &mut State) {
-        state.cut |= !state.closed && !state.rest.is_empty();
+    fn close_now(&self, state: &mut State) {
+        state.cut |= !state.closed && !state.pending.is_empty();
         state.closed = true;
-        state.rest = GatherList::new();
-        self.way.shut(Shutdown::Both);
+        state.pending = GatherList::new();
+        self.socket.shut_down(Shutdown::Both);
     }
 
-    fn end(&self, state: &mut State, how: Shutdown) {
+    fn shut_down(&self, state: &mut State, how: Shutdown) {
         if how == Shutdown::Write && !state.closed {
-            self.way.shut(how);
+            self.socket.shut_down(how);
         } else {
-            self.shut(state);
+            self.close_now(state);
         }
     }
 
-    /// What the writer is to write next, at most so many bytes; `None` when its work is over.
-    pub(crate) fn next(&self, most: usize) -> Option<Bytes> {
+    /// The next chunk for the writer, of at most `max` bytes; `None` when its work is done.
+    pub(crate) fn next_chunk(&self, max: usize) -> Option<Bytes> {
         let mut state = self.state();
-        if !state.closed && !state.rest.is_empty() {
-            return Some(state.rest.take(most));
+        if !state.closed && !state.pending.is_empty() {
+            return Some(state.pending.take(max));
         }
         state.writing = false;
-        if let Some(how) = state.last {
-            self.end(&mut state, how);
+        if let Some(how) = state.shutdown_when_written {
+            self.shut_down(&mut state, how);
         }
         None
     }
 
-    /// The writer could not write all that it was given.
+    /// Records that the writer could not write all of its chunk.
     ///
-    /// Danger: with nothing behind what the writer held, the connection looked as if all had gone out, and an attempt that its
-    /// node never got whole counted as one that may have run. Harm: none; it says so only where bytes were surely not taken.
-    pub(crate) fn failed(&self) {
+    /// If nothing was buffered behind that chunk, the connection would otherwise look as if everything had
+    /// been written, and an attempt that its node never received completely would count as one that may have
+    /// run. This is set only where bytes were certainly not accepted.
+    pub(crate) fn writer_failed(&self) {
         let mut state = self.state();
         state.cut |= !planted!(CutForgotten);
-        self.shut(&mut state);
+        self.close_now(&mut state);
     }
 }
--- a/crates/transport/src/thread_times.rs
+++ b/crates/transport/src/thread_times.rs
@@ -1,4 +1,4 @@
-//! What the scheduler says of a thread: how long it ran, and how long it was ready to run and had no processor.
+//! Scheduler statistics of a thread: the time it ran, and the time it was ready to run but had no processor.
 
 use std::fs::{self, File};
 use std::io::{self, Read};
@@ -7,16 +7,17 @@
 
 use records::Micros;
 
-/// Where the system has its figures, and in it the calling thread (proc(5)).
-const SYSTEM: &str = "/proc";
-const OWN: &str = "thread-self";
-/// Three numbers of at most twenty digits.
-const LONGEST: usize = 64;
+/// The proc file system, and in it the link to the calling thread (proc(5)).
+const PROC: &str = "/proc";
+const CALLING_THREAD: &str = "thread-self";
+/// Length of three numbers of at most twenty digits, with room to spare.
+const BUFFER_BYTES: usize = 64;
 
-/// The times of one thread; any thread may read them.
+/// Access to the times of one thread; any thread may read them.
 ///
-/// Danger: a file kept open for each would take descriptors that a configuration grants to connections. It is opened for a read
-/// alone. Harm: a read costs that much more, and fails while there is no descriptor.
+/// The file is opened for each read, because a file kept open per thread would take descriptors that a
+/// configuration grants to connections. The cost is a slower read that fails while no descriptor is
+/// available.
 #[derive(Debug)]
 pub struct ThreadTimes {
     path: PathBuf,
@@ -25,9 +26,9 @@
 /// Times of a thread since its start, or between two reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Times {
-    /// On a processor.
+    /// Time on a processor.
     pub ran: Micros,
-    /// Ready to run without a processor. A thread that still waits for one has its present wait not counted.
+    /// Time ready to run without a processor. A wait that is still going on is not included.
     pub delayed: Micros,
 }
 
@@ -40,21 +41,23 @@
 }
 
 impl ThreadTimes {
-    /// Those of the thread that calls.
+    /// The times of the calling thread.
     ///
     /// # Errors
-    /// The system has none.
+    ///
+    /// The system does not provide them.
     pub fn of_this_thread() -> io::Result<ThreadTimes> {
-        let system = Path::new(SYSTEM);
-        Ok(ThreadTimes { path: system.join(fs::read_link(system.join(OWN))?).join("schedstat") })
+        let proc = Path::new(PROC);
+        Ok(ThreadTimes { path: proc.join(fs::read_link(proc.join(CALLING_THREAD))?).join("schedstat") })
     }
 
-    /// The times now.
+    /// Reads the current times.
     ///
     /// # Errors
-    /// The thread is gone, there is no descriptor, or the system says something else than its documentation.
+    ///
+    /// The thread is gone, no descriptor is available, or the content is not as documented.
     pub fn read(&self) -> io::Result<Times> {
-        let mut buffer = [0; LONGEST];
+        let mut buffer = [0; BUFFER_BYTES];
         let length = File::open(&self.path)?.read(&mut buffer)?;
         parse(&buffer[..length]).ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
     }
--- a/crates/transport/src/wake.rs
+++ b/crates/transport/src/wake.rs
@@ -1,71 +1,75 @@
-//! When the ticker's thread sleeps, and who wakes it; without the thread and without a clock.
+//! The sleep and wake-up protocol of the ticker's thread, independent of threads and clocks.
 
 use records::Micros;
 use sync::atomic::{AtomicBool, AtomicI64, Ordering, fence};
 use sync::planted;
 
-/// The longest sleep; what is due earlier wakes it.
-pub(crate) const LONGEST: Micros = 100_000;
-/// A tick that the engine has not handled yet is repeated after this.
-pub(crate) const AGAIN: Micros = 1000;
+/// The longest sleep; anything due earlier wakes the thread.
+pub(crate) const MAX_SLEEP: Micros = 100_000;
+/// Interval at which a tick is repeated while the engine has not handled it.
+pub(crate) const REPEAT_INTERVAL: Micros = 1000;
 
-/// What the ticker's thread and its user share.
+/// State shared by the ticker's thread and its user.
 ///
-/// Each writes one of the two times and then reads the other's, with a fence between: at least one of them sees what the other
-/// wrote. So either the user wakes the thread or the thread doesn't go to sleep for longer than is left.
+/// Each side writes one of the two times and then reads the other, with a fence in between, so at least one
+/// side sees what the other wrote. Hence either the user wakes the thread, or the thread does not sleep past
+/// the due time.
 pub(crate) struct Wake {
     due: AtomicI64,
-    /// The thread sleeps until then; the end of time while it looks what is due.
+    /// When the thread's sleep ends; the maximum while it checks what is due.
     sleeps_until: AtomicI64,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
 impl Wake {
-    /// Nothing is due.
+    /// A new state with nothing due.
     pub(crate) fn new() -> Wake {
         Wake {
             due: AtomicI64::new(Micros::MAX),
             sleeps_until: AtomicI64::new(0),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         }
     }
 
-    /// The next due time, in place of the one before; whether the thread has to be woken (unparked) for it.
-    pub(crate) fn set(&self, at: Micros) -> bool {
+    /// Sets the next due time, replacing the previous one. Returns whether the thread has to be woken
+    /// (unparked).
+    pub(crate) fn set_due(&self, at: Micros) -> bool {
         self.due.store(at, Ordering::Release);
         self.fence();
         at < self.sleeps_until.load(Ordering::Acquire)
     }
 
-    /// It ends; the thread has to be woken.
+    /// Ends the thread's loop; the thread has to be woken.
     pub(crate) fn stop(&self) {
-        self.over.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
     }
 
-    /// Keeps the time until it is over. `sleep` ends after the time, when it is woken, or earlier; a wake that comes before it
-    /// is not lost, as a parked thread's is not.
+    /// Keeps time until stopped. `sleep` returns after the given time, when woken, or earlier; as with a
+    /// parked thread, a wake-up that precedes it must not be lost.
     pub(crate) fn run(&self, now: impl Fn() -> Micros, tick: impl Fn(), sleep: impl Fn(Micros)) {
-        while !self.over.load(Ordering::Acquire) {
+        while !self.stopped.load(Ordering::Acquire) {
             let now = now();
-            // Said before the due time is read: whoever sets an earlier one after this sees it and wakes us.
-            self.say(Micros::MAX);
+            // Published before the due time is read, so that whoever sets an earlier due time afterwards sees
+            // it and wakes this thread.
+            self.publish_sleep_end(Micros::MAX);
             let due = self.due.load(Ordering::Acquire);
             let is_due = due <= now;
             let until = if is_due {
                 tick();
-                now + AGAIN
+                now + REPEAT_INTERVAL
             } else {
-                due.min(now + LONGEST)
+                due.min(now + MAX_SLEEP)
             };
-            self.say(until);
-            // Looked at again: whoever set an earlier one meanwhile may not have known how long we sleep.
+            self.publish_sleep_end(until);
+            // Checked again, because whoever set an earlier due time meanwhile may not have known when this
+            // sleep ends.
             if is_due || self.due.load(Ordering::Acquire) >= until || planted!(DueMissed) {
                 sleep((until - now).max(1));
             }
         }
     }
 
-    fn say(&self, until: Micros) {
+    fn publish_sleep_end(&self, until: Micros) {
         if until == Micros::MAX && planted!(DueMissed) {
             return;
         }
--- a/crates/transport/tests/outlet.rs
+++ b/crates/transport/tests/outlet.rs
@@ -1,4 +1,4 @@
-//! The way out over real sockets.
+//! Outlets over real sockets.
 
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -7,42 +7,42 @@
 use gather::{GatherList, PduSink};
 use transport::Outlet;
 
-/// More than the system takes at once for a peer that does not read.
-const MUCH: usize = 32 << 20;
+/// More bytes than the system buffers for a peer that does not read.
+const LARGE: usize = 32 << 20;
 
 fn pair() -> (Arc<Outlet>, TcpStream) {
     task::set_up();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let peer = TcpStream::connect(listener.local_addr().expect("its address")).expect("it connects");
-    let (stream, _) = listener.accept().expect("it is accepted");
-    stream.set_nonblocking(true).expect("it does not block");
-    (Arc::new(Outlet::over(Arc::new(stream), MUCH + 1)), peer)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let peer = TcpStream::connect(listener.local_addr().expect("local address")).expect("connect");
+    let (stream, _) = listener.accept().expect("accept");
+    stream.set_nonblocking(true).expect("set non-blocking");
+    (Arc::new(Outlet::over(Arc::new(stream), LARGE + 1)), peer)
 }
 
 #[test]
-fn what_was_appended_and_not_flushed_is_written_before_it_is_finished() {
+fn unflushed_data_is_written_before_the_outlet_finishes() {
     for both in [true, false] {
         let (outlet, mut peer) = pair();
-        outlet.append(|rest| rest.copy(&vec![7; MUCH]));
+        outlet.append(|rest| rest.copy(&vec![7; LARGE]));
         if both {
             outlet.finish()
         } else {
             outlet.end_writing()
         }
-        assert!(!outlet.append(|rest| rest.copy(b"late")), "nothing is kept after it was finished");
+        assert!(!outlet.append(|rest| rest.copy(b"late")), "an outlet accepts nothing after finish");
         let mut got = Vec::new();
-        peer.read_to_end(&mut got).expect("it ends in order");
-        assert!(got.len() == MUCH && got.iter().all(|b| *b == 7), "the peer got {} bytes", got.len());
+        peer.read_to_end(&mut got).expect("read to the orderly end");
+        assert!(got.len() == LARGE && got.iter().all(|b| *b == 7), "the peer got {} bytes", got.len());
         assert!(!outlet.was_cut());
     }
 }
 
 #[test]
-fn what_a_close_leaves_unwritten_is_a_cut() {
+fn a_close_with_unwritten_data_is_recorded_as_a_cut() {
     let (outlet, peer) = pair();
-    let mut much = GatherList::new();
-    much.copy(&vec![7; MUCH]);
-    outlet.push(much);
+    let mut data = GatherList::new();
+    data.copy(&vec![7; LARGE]);
+    outlet.push(data);
     outlet.close();
     assert!(outlet.was_cut());
     drop(peer);
--- a/crates/transport/tests/thread_times.rs
+++ b/crates/transport/tests/thread_times.rs
@@ -1,4 +1,4 @@
-//! A thread's times grow with what it does, and whoever holds them reads those of that thread.
+//! Thread times grow with the work of their thread, and a holder reads the times of that thread only.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,76 +7,77 @@
 
 use transport::{ThreadTimes, Times};
 
-const LONG: Duration = Duration::from_secs(30);
-/// The scheduler counts by the tick, of 10 ms at most.
-const TICK: i64 = 10_000;
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// The scheduler accounts in ticks of at most 10 ms.
+const TICK_MICROS: i64 = 10_000;
 
-/// Reads until something holds of what was added to the times.
-fn until(times: &ThreadTimes, holds: impl Fn(Times) -> bool) -> Times {
-    let (begun, end) = (times.read().expect("times"), Instant::now() + LONG);
+/// Reads the times until their increase satisfies a condition.
+fn wait_until(times: &ThreadTimes, condition: impl Fn(Times) -> bool) -> Times {
+    let (start, end) = (times.read().expect("read the times"), Instant::now() + TIMEOUT);
     loop {
-        let since = times.read().expect("times") - begun;
-        if holds(since) {
+        let since = times.read().expect("read the times") - start;
+        if condition(since) {
             return since;
         }
-        assert!(Instant::now() < end, "never: {since:?}");
+        assert!(Instant::now() < end, "timed out: {since:?}");
     }
 }
 
-/// A thread that runs until it is told to end.
+/// A thread that runs until it is stopped.
 struct Spinner {
-    is_over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
     times: ThreadTimes,
 }
 
 impl Spinner {
     fn start() -> Spinner {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let over = is_over.clone();
-        let (tell, told) = std::sync::mpsc::channel();
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = stop.clone();
+        let (sender, receiver) = std::sync::mpsc::channel();
         let thread = thread::spawn(move || {
-            tell.send(ThreadTimes::of_this_thread().expect("the system keeps times"))
-                .expect("it is waited for");
-            while !over.load(Ordering::Acquire) {
+            sender
+                .send(ThreadTimes::of_this_thread().expect("thread times are available"))
+                .expect("the receiver is waiting");
+            while !stopped.load(Ordering::Acquire) {
                 std::hint::spin_loop();
             }
         });
-        Spinner { is_over, thread, times: told.recv().expect("its times") }
+        Spinner { stop, thread, times: receiver.recv().expect("the thread sends its times") }
     }
 
-    /// Ends it. Its times without it.
-    fn end(self) -> ThreadTimes {
-        self.is_over.store(true, Ordering::Release);
-        self.thread.join().expect("it ends");
+    /// Stops the thread and returns its times.
+    fn stop(self) -> ThreadTimes {
+        self.stop.store(true, Ordering::Release);
+        self.thread.join().expect("join");
         self.times
     }
 }
 
 #[test]
-fn a_thread_that_works_runs_no_longer_than_the_time_that_passes() {
-    let times = ThreadTimes::of_this_thread().expect("the system keeps times");
-    let begun = Instant::now();
-    let since = until(&times, |since| since.ran >= 10 * TICK);
-    let span = begun.elapsed().as_micros() as i64;
-    assert!(since.ran + since.delayed <= span + TICK, "{since:?} in {span}");
+fn run_and_wait_times_do_not_exceed_the_elapsed_time() {
+    let times = ThreadTimes::of_this_thread().expect("thread times are available");
+    let start = Instant::now();
+    let since = wait_until(&times, |since| since.ran >= 10 * TICK_MICROS);
+    let elapsed = start.elapsed().as_micros() as i64;
+    assert!(since.ran + since.delayed <= elapsed + TICK_MICROS, "{since:?} in {elapsed}");
 }
 
 #[test]
-fn among_more_threads_than_cores_one_wants_a_processor() {
-    let cores = thread::available_parallelism().expect("cores").get();
+fn a_thread_is_delayed_when_there_are_more_threads_than_cores() {
+    let cores = thread::available_parallelism().expect("number of cores").get();
     let others: Vec<Spinner> = (0..2 * cores).map(|_| Spinner::start()).collect();
-    let times = ThreadTimes::of_this_thread().expect("the system keeps times");
-    until(&times, |since| since.delayed >= TICK);
-    others.into_iter().for_each(|spinner| drop(spinner.end()));
+    let times = ThreadTimes::of_this_thread().expect("thread times are available");
+    wait_until(&times, |since| since.delayed >= TICK_MICROS);
+    others.into_iter().for_each(|spinner| drop(spinner.stop()));
 }
 
 #[test]
-fn another_threads_times_are_read_from_here_while_it_is_there() {
+fn the_times_of_another_thread_are_readable_until_it_ends() {
     let spinner = Spinner::start();
-    until(&spinner.times, |since| since.ran >= 5 * TICK);
-    let (times, end) = (spinner.end(), Instant::now() + LONG);
+    wait_until(&spinner.times, |since| since.ran >= 5 * TICK_MICROS);
+    let (times, end) = (spinner.stop(), Instant::now() + TIMEOUT);
     while times.read().is_ok() {
-        assert!(Instant::now() < end, "the system has times of a thread that ended");
+        assert!(Instant::now() < end, "the times of an ended thread remain readable");
     }
 }
