--- a/crates/sync/examples/reads.rs
+++ b/crates/sync/examples/reads.rs
@@ -1,4 +1,5 @@
-//! What a reader pays for the latest snapshot while another thread publishes: `reads [READERS] [READS]`.
+//! Measures the cost of reading the latest snapshot while another thread publishes: `reads [READERS]
+//! [READS]`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -7,8 +8,8 @@
 use arc_swap::ArcSwap;
 use sync::Published;
 
-/// Between two publishes.
-const PERIOD: Duration = Duration::from_millis(1);
+/// Interval between two publications.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(1);
 
 fn measure(
     name: &str,
@@ -17,21 +18,21 @@
     publish: impl Fn(u64) + Sync,
     read: impl Fn(u64) -> u64 + Sync,
 ) {
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     let nanoseconds = thread::scope(|scope| {
         scope.spawn(|| {
-            (1..).take_while(|_| !over.load(Ordering::Relaxed)).for_each(|number| {
+            (1..).take_while(|_| !finished.load(Ordering::Relaxed)).for_each(|number| {
                 publish(number);
-                thread::sleep(PERIOD);
+                thread::sleep(PUBLISH_INTERVAL);
             });
         });
-        let begun = Instant::now();
-        let all: Vec<_> = (0..readers).map(|_| scope.spawn(|| read(reads))).collect();
-        let seen: u64 = all.into_iter().map(|reader| reader.join().expect("it read")).sum();
-        let spent = begun.elapsed();
-        over.store(true, Ordering::Relaxed);
+        let start = Instant::now();
+        let handles: Vec<_> = (0..readers).map(|_| scope.spawn(|| read(reads))).collect();
+        let seen: u64 = handles.into_iter().map(|reader| reader.join().expect("reader finished")).sum();
+        let elapsed = start.elapsed();
+        finished.store(true, Ordering::Relaxed);
         assert!(seen >= reads);
-        spent.as_nanos() as f64 / reads as f64
+        elapsed.as_nanos() as f64 / reads as f64
     });
     println!("{name}: {nanoseconds:.1} ns a read");
 }
--- a/crates/sync/src/checker.rs
+++ b/crates/sync/src/checker.rs
@@ -1,57 +1,59 @@
-//! How checks run, and the planted mistakes that show that they would find one. Compiled on the checker only.
+//! Running checks, and the injected faults that prove that a check would find them. Compiled for the model
+//! checker only.
 
 use std::cell::Cell;
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A mistake for the time of one check. The product's code names it under `cfg(loom)`.
+/// A fault injected for the duration of one check. Product code refers to it only under `cfg(loom)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     /// A snapshot is published in two steps, its number first.
     NumberFirst,
-    /// What is given wakes nobody.
+    /// Giving an item does not wake the taker.
     GivenUnsaid,
-    /// A giver's end wakes nobody.
+    /// Dropping the giver does not wake the taker.
     EndUnsaid,
-    /// The end is looked for before what was given.
+    /// The end is checked before the remaining items.
     EndFirst,
-    /// A write to a peer that takes nothing waits for ever.
+    /// A write to a peer that accepts nothing waits without a timeout.
     NoWriteTimeout,
-    /// A writer that failed ends without telling.
+    /// A failed writer ends without reporting it.
     WriterSilent,
-    /// Bytes are told as taken before they are written.
+    /// Bytes are reported as taken before they are written.
     TakenFirst,
-    /// What is appended after a close is kept.
+    /// Data appended after a close is kept.
     SpillAfterClose,
-    /// A second writer is started while there is one.
+    /// A second writer is started while one is running.
     TwoWriters,
-    /// A connection is finished with something unwritten.
+    /// A connection is finished with unwritten data.
     FinishDrops,
-    /// A writer's failure does not count as a cut.
+    /// A writer's failure is not recorded as a cut.
     CutForgotten,
-    /// The ticker does not look at the due time again after it said how long it sleeps, and its user does not wake it.
+    /// The ticker does not check the due time again after publishing how long it sleeps, and its user does
+    /// not wake it.
     DueMissed,
-    /// Due time and sleep are written and read without an order between.
+    /// Due time and sleep time are written and read without a fence in between.
     NoFence,
-    /// Its stop does not wake the ticker.
+    /// Stopping the ticker does not wake it.
     StopUnsaid,
-    /// Records are acknowledged before their group's write is durable.
+    /// Records are acknowledged before their group is durable.
     AckBeforeSync,
-    /// Of a group only the last is acknowledged.
+    /// Of each group only the last record is acknowledged.
     AckLast,
-    /// A connection looks whether it is let in before it is known.
+    /// A connection checks whether it is admitted before it is registered.
     HeldFirst,
-    /// An answer that was written is taken off without waking who waits for it.
+    /// A written answer is accounted for without waking the thread that waits for it.
     PaidUnsaid,
-    /// An update is dropped because a snapshot is due, which may be from before it.
+    /// An update is dropped because a snapshot is due, although the snapshot may predate the update.
     SnapshotStale,
-    /// An update follows a snapshot that it is in.
+    /// An update follows a snapshot that already contains it.
     UpdateTwice,
 }
 
-/// Names the mistake that a test's second process plants.
-const VARIABLE: &str = "INTERLEAVINGS_PLANT";
+/// Environment variable that names the fault to inject in a test's child process.
+const FAULT_VARIABLE: &str = "INTERLEAVINGS_PLANT";
 
 thread_local! {
     /// All threads of a check are coroutines of the one thread that runs it.
@@ -59,17 +61,18 @@
 }
 
 impl Plant {
-    /// Whether it is planted in the check that runs.
+    /// Whether this fault is injected in the current check.
     pub fn is_set(self) -> bool {
         PLANTED.get() == Some(self)
     }
 }
 
-/// Runs a check in all interleavings with at most `preemptions` switches away from a thread that could have gone on; without
-/// a bound if there is none, or if the variable `INTERLEAVINGS_UNBOUNDED` is set. How many there were.
+/// Runs a check in all interleavings with at most `preemptions` switches away from a thread that could have
+/// continued, without a bound if it is `None` or if the variable `INTERLEAVINGS_UNBOUNDED` is set. Returns
+/// the number of interleavings.
 pub fn check(preemptions: Option<usize>, run: impl Fn() + Send + Sync + 'static) -> usize {
-    let runs = Arc::new(AtomicUsize::new(0));
-    let count = runs.clone();
+    let interleavings = Arc::new(AtomicUsize::new(0));
+    let count = interleavings.clone();
     let mut builder = loom::model::Builder::new();
     builder.max_branches = 20_000;
     builder.preemption_bound = preemptions.filter(|_| std::env::var_os("INTERLEAVINGS_UNBOUNDED").is_none());
@@ -77,16 +80,17 @@
         count.fetch_add(1, Ordering::Relaxed);
         run();
     });
-    runs.load(Ordering::Relaxed)
+    interleavings.load(Ordering::Relaxed)
 }
 
-/// Runs a check with a mistake planted, and expects the checker to find it and to say `expected`.
+/// Runs a check with a fault injected, and expects the checker to find it and to report `expected`.
 ///
-/// It runs in a process of its own: where the checker finds a deadlock it unwinds threads whose destructors lock, and that may
-/// abort the process.
+/// The check runs in a child process: where the checker finds a deadlock it unwinds threads whose destructors
+/// take locks, which may abort the process.
 ///
 /// # Panics
-/// It was not caught, or something else was.
+///
+/// The fault was not found, or something else was.
 pub fn caught(
     plant: Plant,
     expected: &str,
@@ -94,7 +98,7 @@
     run: impl Fn() + Send + Sync + 'static,
 ) {
     let name = format!("{plant:?}");
-    match std::env::var(VARIABLE) {
+    match std::env::var(FAULT_VARIABLE) {
         Ok(other) if other != name => {}
         Ok(_) => {
             PLANTED.set(Some(plant));
@@ -103,15 +107,15 @@
         }
         Err(_) => {
             let test = std::thread::current().name().unwrap_or_default().to_owned();
-            let child = Command::new(std::env::current_exe().expect("this test's program"))
+            let child = Command::new(std::env::current_exe().expect("path of the test executable"))
                 .args(["--exact", &test, "--nocapture", "--test-threads=1"])
-                .env(VARIABLE, &name)
+                .env(FAULT_VARIABLE, &name)
                 .env("RUST_BACKTRACE", "0")
                 .output()
-                .expect("this test runs again");
-            let said = String::from_utf8_lossy(&child.stderr);
-            assert!(!child.status.success(), "{name} was not caught");
-            assert!(said.contains(expected), "{name} was caught otherwise: {said}");
+                .expect("run the test in a child process");
+            let output = String::from_utf8_lossy(&child.stderr);
+            assert!(!child.status.success(), "{name} was not found");
+            assert!(output.contains(expected), "{name} was found in another way: {output}");
         }
     }
 }
--- a/crates/sync/src/handover.rs
+++ b/crates/sync/src/handover.rs
@@ -1,14 +1,14 @@
-//! Things given by one thread and taken by another.
+//! A queue that hands items from one thread to another.
 
 use std::collections::VecDeque;
 
 use crate::{Arc, Condvar, Mutex, lock, wait};
 
-/// The giving end. Dropped, the taker still gets all that was given, and then the end.
+/// The giving end. After it is dropped, the taker still receives all items given, and then the end.
 #[derive(Debug)]
 pub struct Giver<T>(Arc<Shared<T>>);
 
-/// The taking end. Dropped, what was not taken is dropped with it, and whoever gives is told.
+/// The taking end. When it is dropped, the remaining items are dropped too, and further gives report that.
 #[derive(Debug)]
 pub struct Taker<T>(Arc<Shared<T>>);
 
@@ -20,29 +20,29 @@
 
 #[derive(Debug)]
 struct State<T> {
-    given: VecDeque<T>,
-    /// Nothing more is given.
-    over: bool,
-    /// Nothing more is taken.
-    gone: bool,
+    items: VecDeque<T>,
+    /// Nothing more will be given.
+    giver_dropped: bool,
+    /// Nothing more will be taken.
+    taker_dropped: bool,
 }
 
-/// The two ends. How much may wait between them is its users' business: the peers' mesh counts what was not taken yet, and the
-/// journal's engine how many writes wait.
+/// Creates a queue. Its length is bounded by its users: the peer mesh counts the items not taken yet, and the
+/// engine bounds the number of writes that wait for the journal.
 pub fn handover<T>() -> (Giver<T>, Taker<T>) {
-    let state = Mutex::new(State { given: VecDeque::new(), over: false, gone: false });
+    let state = Mutex::new(State { items: VecDeque::new(), giver_dropped: false, taker_dropped: false });
     let shared = Arc::new(Shared { state, changed: Condvar::new() });
     (Giver(shared.clone()), Taker(shared))
 }
 
 impl<T> Giver<T> {
-    /// Gives a thing; whether there is somebody to take it.
-    pub fn give(&self, thing: T) -> bool {
+    /// Gives an item. Returns whether the taker still exists.
+    pub fn give(&self, item: T) -> bool {
         let mut state = lock(&self.0.state);
-        if state.gone {
+        if state.taker_dropped {
             return false;
         }
-        state.given.push_back(thing);
+        state.items.push_back(item);
         drop(state);
         if !planted!(GivenUnsaid) {
             self.0.changed.notify_one();
@@ -53,7 +53,7 @@
 
 impl<T> Drop for Giver<T> {
     fn drop(&mut self) {
-        lock(&self.0.state).over = true;
+        lock(&self.0.state).giver_dropped = true;
         if !planted!(EndUnsaid) {
             self.0.changed.notify_one();
         }
@@ -61,23 +61,23 @@
 }
 
 impl<T> Taker<T> {
-    /// The next thing, once there is one; `None` once there never will be.
+    /// Waits for the next item; `None` once no more will be given.
     pub fn take(&self) -> Option<T> {
-        self.when_any(|given| given.pop_front())
+        self.wait_for_items(|items| items.pop_front())
     }
 
-    /// All that was given so far, once there is anything; `None` once there never will be.
+    /// Waits for at least one item and takes all that are there; `None` once no more will be given.
     pub fn take_all(&self) -> Option<VecDeque<T>> {
-        self.when_any(|given| Some(std::mem::take(given)))
+        self.wait_for_items(|items| Some(std::mem::take(items)))
     }
 
-    fn when_any<R>(&self, take: impl FnOnce(&mut VecDeque<T>) -> Option<R>) -> Option<R> {
+    fn wait_for_items<R>(&self, take: impl FnOnce(&mut VecDeque<T>) -> Option<R>) -> Option<R> {
         let mut state = lock(&self.0.state);
         loop {
-            if !(state.given.is_empty() || state.over && planted!(EndFirst)) {
-                return take(&mut state.given);
+            if !(state.items.is_empty() || state.giver_dropped && planted!(EndFirst)) {
+                return take(&mut state.items);
             }
-            if state.over {
+            if state.giver_dropped {
                 return None;
             }
             state = wait(&self.0.changed, state);
@@ -88,11 +88,11 @@
 impl<T> Drop for Taker<T> {
     fn drop(&mut self) {
         let mut state = lock(&self.0.state);
-        state.gone = true;
-        let left = std::mem::take(&mut state.given);
+        state.taker_dropped = true;
+        let remaining = std::mem::take(&mut state.items);
         drop(state);
-        // What a thing does when it is dropped is not done under the lock.
-        drop(left);
+        // The items' destructors must not run under the lock.
+        drop(remaining);
     }
 }
 
@@ -101,7 +101,7 @@
     use super::*;
 
     #[test]
-    fn all_that_was_given_is_taken_in_order_and_then_the_end() {
+    fn items_are_taken_in_order_and_then_the_end() {
         let (giver, taker) = handover();
         assert!((0..3).all(|n| giver.give(n)));
         assert_eq!(taker.take(), Some(0));
@@ -112,12 +112,12 @@
     }
 
     #[test]
-    fn whoever_gives_to_nobody_is_told() {
+    fn giving_reports_that_the_taker_was_dropped() {
         let (giver, taker) = handover();
-        let thing = Arc::new(());
-        assert!(giver.give(thing.clone()));
+        let item = Arc::new(());
+        assert!(giver.give(item.clone()));
         drop(taker);
-        assert_eq!(Arc::strong_count(&thing), 1, "what was not taken is dropped");
-        assert!(!giver.give(thing));
+        assert_eq!(Arc::strong_count(&item), 1, "remaining items are dropped");
+        assert!(!giver.give(item));
     }
 }
--- a/crates/sync/src/published.rs
+++ b/crates/sync/src/published.rs
@@ -1,24 +1,24 @@
-//! A snapshot that is replaced while it is read.
+//! A snapshot that can be replaced while it is read.
 
 use std::ops::Deref;
 
 use crate::atomic::{AtomicU64, Ordering};
 use crate::{Arc, Mutex, lock};
 
-/// The latest snapshot of something. One thread publishes, others read; nobody sees half of one, and no reader is ever given
-/// an earlier one than it had.
+/// The latest snapshot of a value. One thread publishes and others read; no reader sees a partial value, and
+/// no reader ever receives an older snapshot than it had.
 ///
-/// The pair of number and value stands under a lock that is held for two words' time, never while a value is made or dropped.
-/// The number stands beside it once more, so that a reader who keeps its snapshot asks for a newer one with a single load
-/// ([`Published::refresh`]).
+/// Number and value are stored together under a lock that is held only to copy two words, never while a value
+/// is created or dropped. The number is also stored outside the lock, so that a reader that keeps its
+/// snapshot checks for a newer one with a single load ([`Published::refresh`]).
 #[derive(Debug)]
 pub struct Published<T> {
-    /// The number of what is under the lock, or, for whoever holds no lock, one from before.
+    /// The number of the snapshot under the lock; for a thread without the lock it may be outdated.
     number: AtomicU64,
     current: Mutex<Snapshot<T>>,
 }
 
-/// What was published, with its number. It doesn't change.
+/// A published value with its number. It never changes.
 #[derive(Debug)]
 pub struct Snapshot<T> {
     number: u64,
@@ -26,7 +26,7 @@
 }
 
 impl<T> Snapshot<T> {
-    /// Its number: 0 is what the publisher began with, each next is one more.
+    /// The snapshot's number: 0 for the publisher's first value, one more for each later one.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -47,13 +47,13 @@
 }
 
 impl<T> Published<T> {
-    /// Begins with a value, number 0.
+    /// Creates a publisher whose first value has number 0.
     pub fn new(value: T) -> Self {
-        let first = Snapshot { number: 0, value: Arc::new(value) };
-        Published { number: AtomicU64::new(0), current: Mutex::new(first) }
+        let initial = Snapshot { number: 0, value: Arc::new(value) };
+        Published { number: AtomicU64::new(0), current: Mutex::new(initial) }
     }
 
-    /// Puts a value in place of the one before; its number.
+    /// Replaces the value and returns the number of the new one.
     pub fn publish(&self, value: T) -> u64 {
         let value = Arc::new(value);
         if planted!(NumberFirst) {
@@ -65,36 +65,38 @@
         }
         let mut current = lock(&self.current);
         let number = current.number + 1;
-        let before = std::mem::replace(&mut *current, Snapshot { number, value });
-        // Under the lock: whoever sees the number and then locks finds it there, or a later one.
+        let previous = std::mem::replace(&mut *current, Snapshot { number, value });
+        // Stored under the lock, so that a thread that sees the number and then locks finds this snapshot or
+        // a later one.
         self.number.store(number, Ordering::Release);
         drop(current);
-        // Danger: to drop the last hold on a large value takes long, and readers would wait for it.
-        drop(before);
+        // Dropping the last reference to a large value takes long, and readers would wait for it under the
+        // lock.
+        drop(previous);
         number
     }
 
-    /// The latest.
+    /// The latest snapshot.
     pub fn latest(&self) -> Snapshot<T> {
         lock(&self.current).clone()
     }
 
-    /// The number of the latest.
+    /// The number of the latest snapshot.
     pub fn number(&self) -> u64 {
         self.number.load(Ordering::Acquire)
     }
 
-    /// Puts the latest in place of what a reader holds, if there is a later one; whether there was.
+    /// Replaces a reader's snapshot by the latest one, if that is newer. Returns whether it was.
     pub fn refresh(&self, held: &mut Snapshot<T>) -> bool {
         if self.number() == held.number {
             return false;
         }
         let latest = self.latest();
-        let is_later = latest.number > held.number;
-        if is_later {
+        let is_newer = latest.number > held.number;
+        if is_newer {
             *held = latest;
         }
-        is_later
+        is_newer
     }
 }
 
@@ -103,17 +105,17 @@
     use super::*;
 
     #[test]
-    fn a_reader_gets_each_later_one_once_and_keeps_what_it_holds() {
+    fn a_reader_receives_each_newer_snapshot_once_and_keeps_those_it_holds() {
         let published = Published::new("a");
         let mut held = published.latest();
         assert_eq!((held.number(), *held), (0, "a"));
         assert!(!published.refresh(&mut held));
-        let early = held.clone();
+        let older = held.clone();
         assert_eq!((published.publish("b"), published.publish("c")), (1, 2));
         assert!(published.refresh(&mut held));
         assert_eq!((held.number(), *held), (2, "c"));
         assert!(!published.refresh(&mut held));
-        assert_eq!((early.number(), *early), (0, "a"));
+        assert_eq!((older.number(), *older), (0, "a"));
         assert_eq!(published.number(), 2);
     }
 }
