--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -19,7 +19,7 @@
                         if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
                             journal.attempt_forgotten(now, attempt);
                         }
-                        self.attempt_forgotten(now, attempt);
+                        self.report_attempt_forgotten(now, attempt);
                         if let Some(connection) = self.node_connections.get(&node) {
                             connection.forget(attempt);
                         }
@@ -42,7 +42,7 @@
                             _ => completion_of(answer, &self.options.target.retry_delays),
                         };
                         if let Some(identity) = identity {
-                            self.operation_unserved(now, identity, self.was_sent(ticket));
+                            self.report_unserved(now, identity, self.was_any_attempt_sent(ticket));
                         }
                         self.complete_command(ticket, completion);
                     }
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn send(&mut self, now: Micros, send: Send) {
-        self.attempt_sent(now, &send);
+        self.report_attempt_sent(now, &send);
         if send.opcode == Opcode::Write
             && let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal)
         {
@@ -105,7 +105,7 @@
         if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
             journal.attempt_ended(now, attempt, end.outcome);
         }
-        self.attempt_ended(now, attempt, &end);
+        self.report_attempt_ended(now, attempt, &end);
         self.core.ended(now, attempt, end, &mut self.effects);
     }
 }
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -115,7 +115,7 @@
             let was_sent = self.core.withdraw(now, ticket, &mut self.effects);
             // The client may retry the command, here or at another gateway.
             if let Some(identity) = accepted.and_then(|t| t.identity) {
-                self.operation_unserved(now, identity, was_sent);
+                self.report_unserved(now, identity, was_sent);
             }
         }
     }
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -115,19 +115,19 @@
     }
 
     /// An operation ended unserved, or its client has gone.
-    pub(super) fn operation_unserved(&mut self, now: Micros, identity: RetryIdentity, was_sent: bool) {
+    pub(super) fn report_unserved(&mut self, now: Micros, identity: RetryIdentity, was_sent: bool) {
         if let Some(retry_cap) = self.coordination.as_mut().and_then(|c| c.retry_cap.as_mut()) {
             retry_cap.operation_unserved(now, identity, was_sent);
         }
     }
 
     /// Whether any attempt of an unserved operation was sent; assumed when its record is no longer kept.
-    pub(super) fn was_sent(&self, ticket: Ticket) -> bool {
+    pub(super) fn was_any_attempt_sent(&self, ticket: Ticket) -> bool {
         self.core.ended_views().rev().find(|e| e.ticket == ticket).is_none_or(|e| e.attempts > 0)
     }
 
     /// An attempt is about to be sent.
-    pub(super) fn attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(super) fn report_attempt_sent(&mut self, now: Micros, send: &Send) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_sent(now, send);
@@ -138,7 +138,7 @@
     }
 
     /// An attempt has ended, as its node connection reports.
-    pub(super) fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(super) fn report_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_ended(now, attempt, end.outcome);
@@ -149,7 +149,7 @@
     }
 
     /// An attempt's end is no longer awaited.
-    pub(super) fn attempt_forgotten(&mut self, now: Micros, attempt: AttemptId) {
+    pub(super) fn report_attempt_forgotten(&mut self, now: Micros, attempt: AttemptId) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_ended(now, attempt, Outcome::TimedOut);
