--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -1,8 +1,9 @@
 //! Carries out the core's effects: attempts sent to nodes, answers sent to clients.
 
 use bytes::Bytes;
+use decisions::NodeId;
 use nvme::{Completion, Status as NvmeStatus, StatusCode};
-use storage_core::{Answer, AttemptId, Effect, End, Micros, Opcode, Send};
+use storage_core::{Answer, AttemptId, Effect, End, Micros, Opcode, Send, Ticket};
 
 use super::Engine;
 use crate::completion::completion_of;
@@ -15,37 +16,11 @@
             for effect in std::mem::take(&mut self.effects) {
                 match effect {
                     Effect::Send(send) => self.send(now, send),
-                    Effect::Forget(attempt, node) => {
-                        if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
-                            journal.attempt_forgotten(now, attempt);
-                        }
-                        self.report_attempt_forgotten(now, attempt);
-                        if let Some(connection) = self.node_connections.get(&node) {
-                            connection.forget(attempt);
-                        }
-                    }
+                    Effect::Forget(attempt, node) => self.forget_attempt(now, attempt, node),
                     Effect::Answer(ticket, answer) if self.settling_reads.contains_key(&ticket) => {
-                        if let Some(write) = self.settling_reads.remove(&ticket) {
-                            let data =
-                                if let Answer::Served(data) = &answer { Some(&data[..]) } else { None };
-                            self.with_recovery(now, |r, actions| r.on_read_back(now, &write, data, actions));
-                        }
-                    }
-                    Effect::Answer(ticket, answer) => {
-                        let accepted = self.accepted.get(&ticket);
-                        let identity = accepted
-                            .and_then(|t| t.identity)
-                            .filter(|_| !matches!(answer, Answer::Served(_)));
-                        let expected = accepted.and_then(|t| t.expected.as_ref());
-                        let completion = match (&answer, expected) {
-                            (Answer::Served(data), Some(expected)) => compare_completion(data, expected),
-                            _ => completion_of(answer, &self.options.target.retry_delays),
-                        };
-                        if let Some(identity) = identity {
-                            self.report_unserved(now, identity, self.was_any_attempt_sent(ticket));
-                        }
-                        self.complete_command(ticket, completion);
+                        self.finish_settling_read(now, ticket, &answer);
                     }
+                    Effect::Answer(ticket, answer) => self.answer_command(now, ticket, answer),
                     Effect::Subscribe => {}
                     Effect::Log(line) => tracing::info!("{line}"),
                 }
@@ -53,6 +28,41 @@
         }
     }
 
+    /// Drops an attempt that the core no longer waits for.
+    fn forget_attempt(&mut self, now: Micros, attempt: AttemptId, node: NodeId) {
+        if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
+            journal.attempt_forgotten(now, attempt);
+        }
+        self.report_attempt_forgotten(now, attempt);
+        if let Some(connection) = self.node_connections.get(&node) {
+            connection.forget(attempt);
+        }
+    }
+
+    /// Passes the answer of a settling read to the recovery.
+    fn finish_settling_read(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
+        if let Some(write) = self.settling_reads.remove(&ticket) {
+            let data = if let Answer::Served(data) = answer { Some(&data[..]) } else { None };
+            self.with_recovery(now, |r, actions| r.on_read_back(now, &write, data, actions));
+        }
+    }
+
+    /// Answers a client's command with the core's final answer.
+    fn answer_command(&mut self, now: Micros, ticket: Ticket, answer: Answer) {
+        let accepted = self.accepted.get(&ticket);
+        let identity = accepted.and_then(|t| t.identity).filter(|_| !matches!(answer, Answer::Served(_)));
+        let expected = accepted.and_then(|t| t.expected.as_ref());
+        let completion = match (&answer, expected) {
+            (Answer::Served(data), Some(expected)) => compare_completion(data, expected),
+            _ => completion_of(answer, &self.options.target.retry_delays),
+        };
+        if let Some(identity) = identity {
+            self.report_unserved(now, identity, self.was_any_attempt_sent(ticket));
+        }
+        self.complete_command(ticket, completion);
+    }
+
+    /// Sends an attempt; a write goes to the journal first, if one is kept.
     pub(super) fn send(&mut self, now: Micros, send: Send) {
         self.report_attempt_sent(now, &send);
         if send.opcode == Opcode::Write
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -2,11 +2,12 @@
 
 use nvme::{Completion, IoCommand, Status as NvmeStatus, StatusCode};
 use repeats::key_of_host;
-use storage_core::{Answer, ClientId, Micros, Opcode, Operation, Ticket};
+use storage_core::{Answer, ClientId, Micros, Operation, Ticket};
 
 use super::{AcceptedCommand, Client, Engine};
 use crate::completion::completion_of;
 use crate::connection::ConnectionId;
+use crate::opcode::opcode_of;
 
 impl Engine {
     /// Queues the completion of a command on its connection; it goes out with the batch.
@@ -17,6 +18,12 @@
         }
     }
 
+    /// Refuses a command with the advice to retry after this time.
+    fn refuse(&mut self, id: ConnectionId, cid: u16, come_back: Micros) {
+        let refusal = completion_of(Answer::Refused { come_back }, &self.options.target.retry_delays);
+        self.answer(id, cid, refusal);
+    }
+
     pub(super) fn submit_command(&mut self, now: Micros, id: ConnectionId, command: IoCommand) {
         if !self.clients.contains_key(&id) {
             return;
@@ -27,8 +34,7 @@
             .and_then(|r| r.retry_delay_if_closed(now, &self.options.catalogue, &command))
         {
             // Recovery has not opened this place yet, so the command is not accepted.
-            let refusal = completion_of(Answer::Refused { come_back }, &self.options.target.retry_delays);
-            return self.answer(id, command.cid, refusal);
+            return self.refuse(id, command.cid, come_back);
         }
         let bytes = self.command_bytes(&command);
         let exceeded = self.front_end.gate().take(id, bytes).err();
@@ -46,8 +52,7 @@
                 self.front_end.gate().done(id, bytes);
             }
             let come_back = self.options.catalogue.settings.most_advice;
-            let refusal = completion_of(Answer::Refused { come_back }, &self.options.target.retry_delays);
-            return self.answer(id, command.cid, refusal);
+            return self.refuse(id, command.cid, come_back);
         }
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
@@ -56,11 +61,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.tickets.insert(command.cid, ticket);
         let (cid, is_compare) = (command.cid, command.opcode == nvme::io::COMPARE);
-        let opcode = match command.opcode {
-            nvme::io::READ | nvme::io::COMPARE => Opcode::Read,
-            nvme::io::WRITE => Opcode::Write,
-            _ => Opcode::Flush,
-        };
+        let opcode = opcode_of(&command);
         let IoCommand { nsid, slba, blocks, mut data, token, .. } = command;
         let expected = is_compare.then(|| std::mem::take(&mut data));
         self.accepted.insert(ticket, AcceptedCommand { connection: id, cid, bytes, expected, identity });
--- a/crates/gateway/src/engine/control.rs
+++ b/crates/gateway/src/engine/control.rs
@@ -47,12 +47,8 @@
                     };
                     recovery.set_orders(state)?;
                 }
-                let volume = |name: &String| {
-                    let mut volumes = self.options.catalogue.volumes();
-                    volumes.find(|v| &v.name == name).map(|v| v.nsid)
-                };
                 (self.revision, self.paused) = (revision, paused);
-                self.held_volumes = held.iter().filter_map(volume).collect();
+                self.held_volumes = self.volume_ids(&held);
                 self.apply_node_list(now, true, false, &lines);
                 self.apply_effects(now);
                 Ok(ControlAnswer::Done(now))
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -75,14 +75,19 @@
     /// Applies orders received from a peer or read from this gateway's own disk: drained nodes, volumes on
     /// hold, pause.
     pub(super) fn adopt_orders(&mut self, now: Micros, state: &Word) {
+        (self.revision, self.paused) = (state.orders, self.options.await_orders || state.paused);
+        self.held_volumes = self.volume_ids(&state.held);
+        let drained: HashMap<&str, bool> = state.nodes.iter().map(|n| (n.name.as_str(), n.drained)).collect();
+        self.restate_nodes(now, |name| drained.get(name).copied());
+    }
+
+    /// Namespace identifiers of the volumes with these names; unknown names are skipped.
+    pub(super) fn volume_ids(&self, names: &[String]) -> BTreeSet<u32> {
         let volume = |name: &String| {
             let mut volumes = self.options.catalogue.volumes();
             volumes.find(|v| &v.name == name).map(|v| v.nsid)
         };
-        (self.revision, self.paused) = (state.orders, self.options.await_orders || state.paused);
-        self.held_volumes = state.held.iter().filter_map(volume).collect();
-        let drained: HashMap<&str, bool> = state.nodes.iter().map(|n| (n.name.as_str(), n.drained)).collect();
-        self.restate_nodes(now, |name| drained.get(name).copied());
+        names.iter().filter_map(volume).collect()
     }
 
     /// Restates the node list with drains as given. Nodes for which `drained` returns `None` keep their
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -45,8 +45,8 @@
         self.core.causes().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
-    pub(super) fn status(&self, now: Micros) -> Status {
-        let tally = self.core.tally();
+    /// The state of every node.
+    fn node_statuses(&self) -> Vec<NodeStatus> {
         let nodes = self.core.node_views().iter().map(|(id, n)| {
             let connection = self.node_connections.get(id);
             let state = self.core.look(*id);
@@ -72,6 +72,11 @@
                 latency: n.latency,
             }
         });
+        nodes.collect()
+    }
+
+    /// The state of every volume.
+    fn volume_statuses(&self) -> Vec<VolumeStatus> {
         let views = self.core.volume_views();
         let volumes = self.options.catalogue.volumes().map(|v| {
             let view = views.get(&v.nsid).cloned().unwrap_or_default();
@@ -86,6 +91,11 @@
                 units: view.units,
             }
         });
+        volumes.collect()
+    }
+
+    pub(super) fn status(&self, now: Micros) -> Status {
+        let tally = self.core.tally();
         let gate = self.front_end.gate();
         let ((connections, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
         let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
@@ -131,8 +141,8 @@
             repeats: self.repeats_status(now),
             shadow: self.shadow_status(),
             control: self.control_status(),
-            nodes: nodes.collect(),
-            volumes: volumes.collect(),
+            nodes: self.node_statuses(),
+            volumes: self.volume_statuses(),
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -109,28 +109,7 @@
         let ticks = inbox.clone();
         let ticker =
             Ticker::start(front_end.clock, move || ticks.send(Message::Tick)).map_err(GatewayError::Start)?;
-        let mut subsystems = Subsystems::default();
-        if let Some(peering) = options.company.take() {
-            let names = peering.peers.peers.iter().map(|p| p.0.clone()).collect();
-            let folder = peering.peers.folder.clone();
-            let peer_network = PeerNetwork::start(peering.peers, inbox.clone())?;
-            if let Some(recovery) = &peering.returning {
-                let (catalogue, seed, now) = (&options.catalogue, options.seed, front_end.clock.now());
-                let network = (peer_network.clone(), names, folder.as_path());
-                subsystems.recovery =
-                    Some(RecoveryDriver::start(recovery, network, catalogue, seed, now, inbox.clone())?);
-            }
-            if let Some(coordination) = peering.together {
-                let volumes = options.target.namespaces.iter().map(|ns| ns.nsid).collect();
-                let (now, seed) = (front_end.clock.now(), options.seed);
-                subsystems.coordination =
-                    Some(Coordination::start(coordination, &peer_network, &folder, volumes, now, seed)?);
-            }
-            subsystems.peer_network = Some(peer_network);
-        }
-        if let Some(plane) = options.plane.take() {
-            subsystems.control_plane = Some(ControlPlane::start(plane, inbox.clone())?);
-        }
+        let subsystems = start_subsystems(&mut options, front_end.clock, &inbox)?;
         let peer_address = subsystems.peer_network.as_ref().map(PeerNetwork::address);
         let view = subsystems.coordination.as_ref().map(|c| c.membership.snapshot());
         let engine = Engine::new(options, address.to_string(), front_end.clone(), inbox.clone(), subsystems);
@@ -205,6 +184,37 @@
     }
 }
 
+/// Starts the optional subsystems: the peer network with recovery and coordination, and the control plane.
+fn start_subsystems(
+    options: &mut GatewayOptions,
+    clock: Clock,
+    inbox: &Inbox,
+) -> Result<Subsystems, GatewayError> {
+    let mut subsystems = Subsystems::default();
+    if let Some(peering) = options.company.take() {
+        let names = peering.peers.peers.iter().map(|p| p.0.clone()).collect();
+        let folder = peering.peers.folder.clone();
+        let peer_network = PeerNetwork::start(peering.peers, inbox.clone())?;
+        if let Some(recovery) = &peering.returning {
+            let (catalogue, seed, now) = (&options.catalogue, options.seed, clock.now());
+            let network = (peer_network.clone(), names, folder.as_path());
+            subsystems.recovery =
+                Some(RecoveryDriver::start(recovery, network, catalogue, seed, now, inbox.clone())?);
+        }
+        if let Some(coordination) = peering.together {
+            let volumes = options.target.namespaces.iter().map(|ns| ns.nsid).collect();
+            let (now, seed) = (clock.now(), options.seed);
+            subsystems.coordination =
+                Some(Coordination::start(coordination, &peer_network, &folder, volumes, now, seed)?);
+        }
+        subsystems.peer_network = Some(peer_network);
+    }
+    if let Some(plane) = options.plane.take() {
+        subsystems.control_plane = Some(ControlPlane::start(plane, inbox.clone())?);
+    }
+    Ok(subsystems)
+}
+
 fn ask(inbox: &Inbox, request: ControlRequest) -> Result<ControlAnswer, GatewayError> {
     let (reply, answer) = thread_mpsc::channel();
     inbox.send(Message::Control(request, reply));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -24,6 +24,7 @@
 mod membership;
 mod message;
 mod node_connection;
+mod opcode;
 mod options;
 mod peer_network;
 mod recovery_driver;
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -19,6 +19,7 @@
 
 use crate::gateway::GatewayError;
 use crate::message::Inbox;
+use crate::opcode::opcode_of;
 use crate::options::ReturnOptions;
 use crate::peer_network::PeerNetwork;
 use crate::write_journal::WriteJournal;
@@ -366,11 +367,7 @@
         }
         let volume = catalogue.volume(command.nsid)?;
         let is_write = matches!(command.opcode, nvme::io::WRITE);
-        let opcode = match command.opcode {
-            nvme::io::READ | nvme::io::COMPARE => storage_core::Opcode::Read,
-            nvme::io::WRITE => storage_core::Opcode::Write,
-            _ => storage_core::Opcode::Flush,
-        };
+        let opcode = opcode_of(command);
         let size = u64::from(volume.block_size);
         let class = catalogue.class(opcode, u64::from(command.blocks) * size);
         let settings = &catalogue.settings;
