--- a/crates/platform/tests/unservable.rs
+++ b/crates/platform/tests/unservable.rs
@@ -1,4 +1,4 @@
-//! Configurations of customers that cannot be served: each is turned down with the file and the key.
+//! Invalid configurations: each is rejected with an error that names the file and the key.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use platform::Config;
 use serde_json::{Value, json};
 
-fn good() -> Value {
-    let known = list(1, true, &[member("a", address(100), 0, "in_service")]);
+fn valid_config() -> Value {
+    let known = node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]);
     serde_json::from_str(&config_text(address(1), 256, &known)).expect("a configuration")
 }
 
-/// Puts a value at a key, written as errors name it, or takes the key out.
-fn change(config: &mut Value, key: &str, value: Option<Value>) {
+/// Sets the value at a key, written as in error messages, or removes the key.
+fn set_value(config: &mut Value, key: &str, value: Option<Value>) {
     let pointer = format!("/{}", key.replace(['.', '['], "/").replace(']', ""));
     let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
     let parent = config.pointer_mut(parent).expect(key);
@@ -24,7 +24,7 @@
     }
 }
 
-fn told(config: &Value) -> String {
+fn parse_result(config: &Value) -> String {
     match Config::parse("/etc/customer.json", config.to_string().as_bytes()) {
         Ok(_) => "taken".to_owned(),
         Err(error) => error.to_string(),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_cannot_be_served_is_turned_down_with_file_and_key() {
+fn invalid_configurations_are_rejected_with_file_and_key() {
     let no_limit = json!({"name": "plain", "usualRate": 50.0, "floorRate": 0.0, "ceilingRate": 10.0, "limitBurst": 0.5,
                           "capSlack": 0.25, "shares": 1.0, "price": 1.0});
     let cases: Vec<(&str, Option<Value>)> = vec![
@@ -109,47 +109,53 @@
         ("settings.fees.waste", Some(json!(-0.1))),
     ];
     for (key, value) in cases {
-        let mut config = good();
-        change(&mut config, key, value.clone());
-        let told = told(&config);
-        assert!(told.starts_with(&format!("/etc/customer.json: key '{key}': ")), "{key}, {value:?}: {told}");
+        let mut config = valid_config();
+        set_value(&mut config, key, value.clone());
+        let result = parse_result(&config);
+        assert!(
+            result.starts_with(&format!("/etc/customer.json: key '{key}': ")),
+            "{key}, {value:?}: {result}"
+        );
     }
-    // What two keys say together.
+    // Conflicts between two keys.
     for (key, changes) in [
         ("settings.policies[0].limitBurst", vec![("settings.policies[0]", no_limit)]),
         ("settings.rules.lookBackUs", vec![("settings.rules.resendRatio", json!(0.1))]),
     ] {
-        let mut config = good();
-        changes.into_iter().for_each(|(at, value)| change(&mut config, at, Some(value)));
-        let told = told(&config);
-        assert!(told.starts_with(&format!("/etc/customer.json: key '{key}': ")), "{key}: {told}");
+        let mut config = valid_config();
+        changes.into_iter().for_each(|(at, value)| set_value(&mut config, at, Some(value)));
+        let result = parse_result(&config);
+        assert!(result.starts_with(&format!("/etc/customer.json: key '{key}': ")), "{key}: {result}");
     }
-    // A key that is missing altogether is named in the table that it is missing from.
+    // A missing key is reported with the table that lacks it.
     for (table, name) in [("limits", "sockets"), ("limits", "memory_mb"), ("limits", "cores")] {
-        let mut config = good();
-        change(&mut config, &format!("{table}.{name}"), None);
-        let told = told(&config);
-        assert!(told.contains(&format!("key '{table}'")) && told.contains(name), "{told}");
+        let mut config = valid_config();
+        set_value(&mut config, &format!("{table}.{name}"), None);
+        let result = parse_result(&config);
+        assert!(result.contains(&format!("key '{table}'")) && result.contains(name), "{result}");
     }
     for name in ["name", "listen", "discovery", "seed", "limits", "known", "settings"] {
-        let mut config = good();
-        change(&mut config, name, None);
-        let told = told(&config);
-        assert!(told.starts_with("/etc/customer.json: ") && told.contains(&format!("`{name}`")), "{told}");
+        let mut config = valid_config();
+        set_value(&mut config, name, None);
+        let result = parse_result(&config);
+        assert!(
+            result.starts_with("/etc/customer.json: ") && result.contains(&format!("`{name}`")),
+            "{result}"
+        );
     }
-    // No JSON writes a figure that is none; one that is too great for a number is turned down as well.
+    // JSON has no notation for such numbers; one that is too large is rejected as well.
     for figure in ["NaN", "Infinity", "-Infinity", "1e999", "null"] {
-        let text = good().to_string().replacen("\"worth\":2.0", &format!("\"worth\":{figure}"), 1);
+        let text = valid_config().to_string().replacen("\"worth\":2.0", &format!("\"worth\":{figure}"), 1);
         let error = Config::parse("/etc/customer.json", text.as_bytes()).expect_err(figure).to_string();
         assert!(error.starts_with("/etc/customer.json: key 'settings"), "{figure}: {error}");
     }
 }
 
 #[test]
-fn what_is_odd_but_can_be_served_is_taken() {
+fn unusual_but_valid_configurations_are_accepted() {
     let taken: Vec<Vec<(&str, Option<Value>)>> = vec![
         vec![],
-        // The platform's own example: what a class does not need is stated all the same, and keys nobody reads.
+        // The platform's own example: keys that a class doesn't need, and unknown keys.
         vec![
             ("settings.classes[0].group", Some(json!("all"))),
             ("settings.classes[0].keyTtlUs", Some(json!(5_000_000))),
@@ -191,11 +197,11 @@
             ("limits.memory_mb", Some(json!(16))),
             ("limits.cores", Some(json!(0.05))),
         ],
-        vec![("known", Some(list(0, true, &[])))],
+        vec![("known", Some(node_list(0, true, &[])))],
     ];
     for changes in taken {
-        let mut config = good();
-        changes.iter().for_each(|(key, value)| change(&mut config, key, value.clone()));
-        assert_eq!(told(&config), "taken", "{changes:?}");
+        let mut config = valid_config();
+        changes.iter().for_each(|(key, value)| set_value(&mut config, key, value.clone()));
+        assert_eq!(parse_result(&config), "taken", "{changes:?}");
     }
 }
