--- a/crates/capacity/src/parts/module.rs
+++ b/crates/capacity/src/parts/module.rs
@@ -47,7 +47,7 @@
             served: 0,
             unserved: 0,
         };
-        stand.dispatcher.nodes(0, true, false, listed);
+        stand.dispatcher.update_nodes(0, true, false, listed);
         stand.carry_out();
         stand
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -245,7 +245,7 @@
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn nodes(
+    pub fn update_nodes(
         &mut self,
         now: Micros,
         whole: bool,
@@ -254,22 +254,22 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.dispatcher.nodes(self.now, whole, remembered, listed);
+        self.dispatcher.update_nodes(self.now, whole, remembered, listed);
         self.carry_out_commands(effects);
     }
 
     /// Notifies the scheduler that fetching the node list failed.
-    pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    pub fn node_list_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        self.dispatcher.nodes_failed(self.now);
+        self.dispatcher.node_list_failed(self.now);
         self.carry_out_commands(effects);
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
     /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
-    /// its advice, at once or after waiting for a token ([`Core::limit_awaiting`]). A shard without an
+    /// its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without an
     /// allowance is unlimited.
-    pub fn allow(
+    pub fn set_retry_tokens(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -279,15 +279,15 @@
     ) {
         self.advance(now);
         self.retry_demands.set_tokens(shard, further);
-        self.dispatcher.allow(self.now, shard, further, come_back);
+        self.dispatcher.set_retry_tokens(self.now, shard, further, come_back);
         self.carry_out_commands(effects);
     }
 
     /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
     /// is set.
-    pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
-        self.dispatcher.limit_awaiting(self.now, shard, most);
+        self.dispatcher.limit_token_waiters(self.now, shard, most);
     }
 
     /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
@@ -302,8 +302,8 @@
     }
 
     /// Removes the nodes that are gone and unused; returns them.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
-        self.dispatcher.forget_gone()
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
+        self.dispatcher.remove_gone_nodes()
     }
 
     /// Returns the number of a node. An unknown name is assigned the next number.
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -43,7 +43,7 @@
     /// Shard that holds the blocks.
     pub shard: ShardId,
     /// The attempt uses a retry token: it is not the first of its part, or the operation is marked as a
-    /// client's retry. See [`Core::allow`](crate::Core::allow).
+    /// client's retry. See [`Core::set_retry_tokens`](crate::Core::set_retry_tokens).
     pub further: bool,
     /// Idempotency token of the operation.
     pub token: u64,
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -110,8 +110,8 @@
 
 impl Core {
     /// Returns the scheduler's view of a node.
-    pub fn look(&self, node: NodeId) -> Option<NodeLook> {
-        self.dispatcher.look(node)
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
+        self.dispatcher.node_snapshot(node)
     }
 
     /// Returns the latest operations that ended unserved, oldest first.
@@ -121,8 +121,8 @@
 
     /// Returns the number of requests that ended unserved, by class and by the cause that the scheduler
     /// determined.
-    pub fn causes(&self) -> &BTreeMap<(usize, Cause), u64> {
-        self.dispatcher.unserved()
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
+        self.dispatcher.unserved_by_cause()
     }
 
     /// Returns the number of operations that ended unserved, by [reason](EndedView::reason).
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -153,7 +153,7 @@
     let mut driver = Driver::with_deduplicated_bulk_writes();
     driver.submit_without_token(1, 0, 2);
     let mut effects = Vec::new();
-    driver.core.nodes(driver.now, false, false, &[node("b", 1, NodeState::Draining)], &mut effects);
+    driver.core.update_nodes(driver.now, false, false, &[node("b", 1, NodeState::Draining)], &mut effects);
     driver.submit_without_token(2, 8, 2);
     driver.core.end_all(driver.now, &mut effects);
     driver.carry_out(effects);
@@ -242,7 +242,7 @@
 fn draining_node_gets_no_new_attempts() {
     let mut driver = Driver::new();
     let mut effects = Vec::new();
-    driver.core.nodes(driver.now, false, false, &[node("a", 0, NodeState::Draining)], &mut effects);
+    driver.core.update_nodes(driver.now, false, false, &[node("a", 0, NodeState::Draining)], &mut effects);
     driver.carry_out(effects);
     driver.submit(1, Opcode::Read, 0, 1);
     driver.submit(2, Opcode::Read, 8, 1);
@@ -335,7 +335,7 @@
                 Step::SetDraining(draining) => {
                     let state = if draining { NodeState::Draining } else { NodeState::On };
                     let mut effects = Vec::new();
-                    driver.core.nodes(driver.now, false, false, &[node("b", 1, state)], &mut effects);
+                    driver.core.update_nodes(driver.now, false, false, &[node("b", 1, state)], &mut effects);
                     driver.carry_out(effects);
                 }
                 Step::Wait(duration) => driver.advance_to(driver.now + duration),
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -96,7 +96,7 @@
 pub fn core_of(catalogue: Catalogue) -> Core {
     let mut core = Core::new(catalogue, 7);
     let nodes = [node("a", 0, NodeState::On), node("b", 1, NodeState::On)];
-    core.nodes(0, true, false, &nodes, &mut Vec::new());
+    core.update_nodes(0, true, false, &nodes, &mut Vec::new());
     core
 }
 
--- a/crates/core/tests/retry_tokens.rs
+++ b/crates/core/tests/retry_tokens.rs
@@ -57,7 +57,7 @@
 #[test]
 fn without_tokens_retries_are_refused_and_first_attempts_are_sent() {
     let mut core = core();
-    core.allow(0, ShardId(0), 0, ADVICE, &mut Vec::new());
+    core.set_retry_tokens(0, ShardId(0), 0, ADVICE, &mut Vec::new());
     let refused = Some(Answer::Refused { come_back: ADVICE });
     assert_eq!(submit(&mut core, read(1, 0, true)), (Vec::new(), refused.clone()));
     assert_eq!(shards_and_retries(&submit(&mut core, read(2, 8, true)).0), [(ShardId(1), true)]);
@@ -66,7 +66,7 @@
     let mut effects = Vec::new();
     core.attempt_ended(2000, sends[0].attempt, End::of(Outcome::Error), &mut effects);
     assert_eq!(sends_and_answer(effects), (Vec::new(), refused));
-    core.allow(3000, ShardId(0), 1, ADVICE, &mut Vec::new());
+    core.set_retry_tokens(3000, ShardId(0), 1, ADVICE, &mut Vec::new());
     assert_eq!(submit(&mut core, read(4, 0, true)).0.len(), 1);
     assert_eq!(submit(&mut core, read(5, 0, true)).0.len(), 0);
     assert_eq!((core.tally().taken, core.tally().refused, core.open_operations()), (5, 3, 2));
@@ -76,7 +76,7 @@
 fn unmet_retry_demand_is_reported_once() {
     let mut core = core();
     submit(&mut core, read(1, 0, true));
-    core.allow(1000, ShardId(0), 1, ADVICE, &mut Vec::new());
+    core.set_retry_tokens(1000, ShardId(0), 1, ADVICE, &mut Vec::new());
     submit(&mut core, read(2, 0, true));
     assert!(core.take_wanted().is_empty(), "nothing was refused yet");
     submit(&mut core, read(3, 0, true));
@@ -93,7 +93,7 @@
 #[test]
 fn pending_retry_demand_is_bounded() {
     let mut core = core();
-    core.allow(0, ShardId(0), 0, ADVICE, &mut Vec::new());
+    core.set_retry_tokens(0, ShardId(0), 0, ADVICE, &mut Vec::new());
     for ticket in 0..1000 {
         submit(&mut core, read(ticket, 0, true));
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -190,7 +190,7 @@
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
+    pub fn update_nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
         self.advance(now);
         let mut entries = Vec::with_capacity(listed.len());
         if whole {
@@ -214,7 +214,7 @@
     }
 
     /// Notifies the scheduler that fetching the node list failed.
-    pub fn nodes_failed(&mut self, now: Micros) {
+    pub fn node_list_failed(&mut self, now: Micros) {
         self.advance(now);
         self.events.push_back(Event::NodesFailed);
     }
@@ -234,7 +234,7 @@
     /// Removes the nodes that are gone, have no attempt in flight and are no longer known to the scheduler;
     /// returns them. Without this the tables would grow without bound where nodes are replaced by nodes with
     /// new names. The removal costs nothing: a node that comes back is treated as new.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
         let scheduler = &self.scheduler;
         let is_removable = |id: &NodeId, view: &NodeView| {
             view.state == NodeState::Gone && view.in_flight == 0 && scheduler.look(*id).is_none()
@@ -358,7 +358,7 @@
     }
 
     /// Returns the scheduler's view of a node.
-    pub fn look(&self, node: NodeId) -> Option<NodeLook> {
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
         self.scheduler.look(node)
     }
 
--- a/crates/dispatch/src/dispatcher/retry_tokens.rs
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -10,14 +10,14 @@
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does the first attempt of a
     /// request that is marked as a client's retry. Without a token a request is refused with `come_back`, in
     /// microseconds, as its advice.
-    pub fn allow(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
+    pub fn set_retry_tokens(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
         self.advance(now);
         self.events.push_back(Event::Allowance { shard, further, come_back });
     }
 
     /// Sets how many requests may wait for a retry token of a shard that has none left. The limit is 0 until
     /// it is set.
-    pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
         self.events.push_back(Event::AwaitLimit { shard, most });
     }
@@ -28,7 +28,7 @@
     }
 
     /// Returns the number of requests that ended unserved since the start, by class and cause.
-    pub fn unserved(&self) -> &BTreeMap<(usize, Cause), u64> {
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
         self.scheduler.unserved()
     }
 }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -79,7 +79,7 @@
     let mut dispatcher = Dispatcher::new(settings(), 7);
     let listed: Vec<ListedNode> =
         names.iter().enumerate().map(|(shard, n)| node(n, shard as u32, NodeState::On)).collect();
-    dispatcher.nodes(0, true, true, &listed);
+    dispatcher.update_nodes(0, true, true, &listed);
     drain_commands(&mut dispatcher);
     dispatcher
 }
@@ -110,7 +110,7 @@
 #[test]
 fn retry_without_token_is_refused_with_the_allowance_advice() {
     let mut dispatcher = with_nodes(&["a"]);
-    dispatcher.allow(500, ShardId(0), 1, 300_000);
+    dispatcher.set_retry_tokens(500, ShardId(0), 1, 300_000);
     dispatcher.submit(1000, request(0, 0), 42);
     let attempts = sent_attempts(&drain_commands(&mut dispatcher));
     dispatcher.attempt_ended(2000, attempts[0], Outcome::Error, None);
@@ -178,21 +178,26 @@
     let mut now = 0;
     for n in 0..3000u32 {
         now += 20_000;
-        dispatcher.nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
+        dispatcher.update_nodes(now, false, false, &[node(&format!("n{n}"), n % 3, NodeState::On)]);
         dispatcher.submit(now, request(0, n % 3), u64::from(n));
         for attempt in sent_attempts(&drain_commands(&mut dispatcher)) {
             dispatcher.attempt_ended(now + 500, attempt, Outcome::Served, None);
         }
         drain_commands(&mut dispatcher);
         if n >= 3 {
-            dispatcher.nodes(now, false, false, &[node(&format!("n{}", n - 3), n % 3, NodeState::Gone)]);
+            dispatcher.update_nodes(
+                now,
+                false,
+                false,
+                &[node(&format!("n{}", n - 3), n % 3, NodeState::Gone)],
+            );
             drain_commands(&mut dispatcher);
         }
         while dispatcher.next_due().is_some_and(|at| at <= now) {
             dispatcher.tick(now);
             drain_commands(&mut dispatcher);
         }
-        dispatcher.forget_gone();
+        dispatcher.remove_gone_nodes();
     }
     // The scheduler keeps a node for some seconds after sending to it: at one node per 20 ms, some hundreds
     // at most.
@@ -204,7 +209,7 @@
             drain_commands(&mut dispatcher);
         }
     }
-    dispatcher.forget_gone();
+    dispatcher.remove_gone_nodes();
     assert_eq!(dispatcher.node_views().len(), 3);
     assert_eq!((dispatcher.open_requests(), dispatcher.attempts_in_flight().count()), (0, 0));
 }
@@ -277,7 +282,7 @@
                 }
                 TestAction::ChangeNode(n, state) => {
                     let name = ["a", "b", "c"][n as usize];
-                    dispatcher.nodes(now, false, false, &[node(name, n, STATES[state])]);
+                    dispatcher.update_nodes(now, false, false, &[node(name, n, STATES[state])]);
                 }
                 _ => {}
             }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -265,7 +265,7 @@
             tracing::info!(cntlid, "a host was silent for its keep alive time-out");
             self.end_association(cntlid);
         }
-        for node in self.core.forget_gone() {
+        for node in self.core.remove_gone_nodes() {
             self.ordered_states.remove(&node);
             if let Some(connection) = self.node_connections.remove(&node) {
                 connection.close();
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -93,9 +93,9 @@
         let Some(allowance) = retry_cap.next_allowance() else { return false };
         let shard = ShardId(allowance.shard);
         if let Some(limit) = retry_cap.new_waiting_limit(allowance.shard) {
-            self.core.limit_awaiting(now, shard, limit);
+            self.core.limit_token_waiters(now, shard, limit);
         }
-        self.core.allow(now, shard, allowance.further, allowance.come_back, &mut self.effects);
+        self.core.set_retry_tokens(now, shard, allowance.further, allowance.come_back, &mut self.effects);
         true
     }
 
@@ -175,7 +175,7 @@
                 Some(*coordination.down_since.entry(*id).or_insert(now))
                     .filter(|since| now - since > SILENCE_THRESHOLD)
             };
-            let state = self.core.look(*id);
+            let state = self.core.node_snapshot(*id);
             let unheard =
                 state.filter(|l| l.silent).map(|_| (now - node.last_heard.unwrap_or(self.started)).max(1));
             let silent_for = down_since.map(|since| now - since).max(unheard).unwrap_or(0);
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -34,7 +34,7 @@
                 },
             });
         }
-        self.core.nodes(now, whole, remembered, &listed, &mut self.effects);
+        self.core.update_nodes(now, whole, remembered, &listed, &mut self.effects);
     }
 
     pub(super) fn with_recovery(
@@ -109,7 +109,7 @@
                 started: self.recovery.as_ref().map_or(n.started, |r| r.effective_start(n.started)),
             });
         }
-        self.core.nodes(now, false, false, &listed, &mut self.effects);
+        self.core.update_nodes(now, false, false, &listed, &mut self.effects);
     }
 
     pub(super) fn connect_node(&mut self, node: NodeId, line: &NodeLine) {
--- a/crates/gateway/src/engine/shadow.rs
+++ b/crates/gateway/src/engine/shadow.rs
@@ -27,7 +27,8 @@
             return;
         }
         let views = self.core.node_views();
-        let has_waiting = |id: &decisions::NodeId| self.core.look(*id).is_some_and(|l| l.waiting > 0);
+        let has_waiting =
+            |id: &decisions::NodeId| self.core.node_snapshot(*id).is_some_and(|l| l.waiting > 0);
         let is_busy = !self.host_queues.is_empty() || views.keys().any(has_waiting);
         trial.copy_answered_reads(now, is_busy, |node| {
             views.get(&node).map_or(String::new(), |v| v.name.clone())
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -42,14 +42,14 @@
     fn unserved_causes(&self) -> BTreeMap<String, u64> {
         let rules = &self.options.catalogue.rules;
         let label = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
-        self.core.causes().iter().map(|(key, count)| (label(key), *count)).collect()
+        self.core.unserved_by_cause().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
     /// The state of every node.
     fn node_statuses(&self) -> Vec<NodeStatus> {
         let nodes = self.core.node_views().iter().map(|(id, n)| {
             let connection = self.node_connections.get(id);
-            let state = self.core.look(*id);
+            let state = self.core.node_snapshot(*id);
             NodeStatus {
                 bound: state.map_or(0.0, |l| l.bound),
                 l: state.map_or(0.0, |l| l.load),
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -284,7 +284,7 @@
         let SocketId::Node(id) = socket else { return };
         if let Some((attempt, node)) = self.connections.take_unusable(id) {
             self.send_attempt(now, attempt, node);
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
     }
 
@@ -333,7 +333,7 @@
             remaining.into_iter().for_each(|id| self.close_client(now, id));
         }
         while self.dispatcher.tick(now) {
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
         while let Some((id, update)) = self.connections.tick(now) {
             self.apply_update(now, id, update, false);
@@ -346,7 +346,7 @@
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP_INTERVAL;
             self.out_of_descriptors = false;
-            for node in self.dispatcher.forget_gone() {
+            for node in self.dispatcher.remove_gone_nodes() {
                 self.nodes.remove(&node);
                 self.gone_nodes.remove(&node);
                 let idle = self.connections.forget_node(node);
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -40,7 +40,7 @@
         if let Some((attempt, outcome, answer)) = update.finished {
             self.attempt_ended(now, attempt, outcome, answer.as_ref());
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     /// Starts an attempt on an available connection if the attempt is still valid; if not, the next one that
@@ -85,7 +85,7 @@
                 self.attempt_ended(now, attempt, Outcome::NotSent, None);
             }
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     pub(super) fn attempt_ended(
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Carries out the dispatcher's steps until there are none left.
-    pub(super) fn run_dispatcher_steps(&mut self, now: Micros) {
+    /// Carries out the dispatcher's commands until there are none left.
+    pub(super) fn run_dispatcher_commands(&mut self, now: Micros) {
         while let Some(command) = self.dispatcher.next_command() {
             match command {
                 Command::Send { attempt, node, .. } => {
@@ -183,7 +183,7 @@
                 self.outputs.push(Output::Cut(SocketId::Node(connection)));
             }
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
         Some(pending)
     }
 }
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -114,7 +114,7 @@
             client.open_request = Some((request, keep));
             self.client_timers.remove(client, id);
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     /// Handles a client connection's timer: no whole request came in time, it was idle for too long, or
--- a/crates/platform/src/machine/lists.rs
+++ b/crates/platform/src/machine/lists.rs
@@ -21,8 +21,8 @@
                     self.apply_list(now, &list, false);
                 }
                 discovery::Step::Lost => {
-                    self.dispatcher.nodes_failed(now);
-                    self.run_dispatcher_steps(now);
+                    self.dispatcher.node_list_failed(now);
+                    self.run_dispatcher_commands(now);
                 }
             }
         }
@@ -30,7 +30,7 @@
 
     pub(super) fn apply_list(&mut self, now: Micros, list: &EndpointList, remembered: bool) {
         let listed = list.to_listed_nodes(&mut self.zones);
-        self.dispatcher.nodes(now, list.whole, remembered, &listed);
+        self.dispatcher.update_nodes(now, list.whole, remembered, &listed);
         let mut idle = Vec::new();
         if list.whole {
             let gone = self.dispatcher.node_views().iter().filter(|(_, view)| view.state == NodeState::Gone);
@@ -55,7 +55,7 @@
             idle.extend(self.connections.drop_idle_of_gone(node));
         }
         self.close_connections(idle);
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
         self.withdraw_invalid_attempts(now);
     }
 
--- a/crates/platform/src/machine/shutdown.rs
+++ b/crates/platform/src/machine/shutdown.rs
@@ -38,7 +38,7 @@
             self.shutdown_since = Some(now);
             if let Some(deadline) = self.shutdown_deadline() {
                 self.dispatcher.cap_deadlines(now, deadline);
-                self.run_dispatcher_steps(now);
+                self.run_dispatcher_commands(now);
             }
         }
     }
--- a/crates/platform/src/machine/summary.rs
+++ b/crates/platform/src/machine/summary.rs
@@ -30,7 +30,7 @@
     /// Formats the requests that ended unserved as `class:cause=count`.
     fn unserved_counts(&self) -> String {
         let classes = &self.service.classes;
-        let counts = self.dispatcher.unserved().iter();
+        let counts = self.dispatcher.unserved_by_cause().iter();
         let words: Vec<String> = counts
             .map(|((class, cause), count)| {
                 let name = classes.get(*class).map_or("?", |c| c.name.as_str());
