--- a/crates/core/benches/core.rs
+++ b/crates/core/benches/core.rs
@@ -19,7 +19,12 @@
             core.submit(now, operation, &mut effects);
             for effect in std::mem::take(&mut effects) {
                 if let Effect::Send(send) = effect {
-                    core.attempt_ended(now + 50, send.attempt, End::of(Outcome::Served), &mut effects);
+                    core.attempt_ended(
+                        now + 50,
+                        send.attempt,
+                        AttemptEnd::without_data(Outcome::Served),
+                        &mut effects,
+                    );
                 }
             }
             core.tick(now + 60, &mut effects);
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -8,7 +8,7 @@
 use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
-use crate::effect::{Effect, End, Send};
+use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
 use crate::operation::{Answer, Operation, Ticket};
 use crate::retry_demand::{RetryDemands, Wanted};
 use crate::views::{EndedView, Tally, VolumeView};
@@ -223,7 +223,13 @@
 
     /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
     /// and otherwise ignored.
-    pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        effects: &mut Vec<Effect>,
+    ) {
         self.advance(now);
         if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
@@ -369,7 +375,7 @@
         if further {
             self.retry_demands.use_token(part.shard);
         }
-        effects.push(Effect::Send(Send {
+        effects.push(Effect::Send(OutgoingAttempt {
             attempt,
             node,
             opcode: operation.opcode,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send an attempt and report its end once.
-    Send(Send),
+    Send(OutgoingAttempt),
     /// The attempt timed out or was cancelled. Its end need not be reported.
     Abandon(AttemptId, NodeId),
     /// Deliver the final answer to an operation.
@@ -23,7 +23,7 @@
 
 /// An attempt to be sent to a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct OutgoingAttempt {
     /// Identifies the attempt.
     pub attempt: AttemptId,
     /// The node to send it to.
@@ -53,7 +53,7 @@
 
 /// The end of an attempt, as reported by the connection to its node.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// Outcome of the attempt. One that says that the attempt never ran may be reported only where that is
     /// certain.
     pub outcome: Outcome,
@@ -63,9 +63,9 @@
     pub load: Option<u32>,
 }
 
-impl End {
+impl AttemptEnd {
     /// Creates an end without data and without a load report.
-    pub fn of(outcome: Outcome) -> Self {
-        End { outcome, data: Bytes::new(), load: None }
+    pub fn without_data(outcome: Outcome) -> Self {
+        AttemptEnd { outcome, data: Bytes::new(), load: None }
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -12,7 +12,7 @@
 struct Driver {
     core: Core,
     now: Micros,
-    in_flight: Vec<Send>,
+    in_flight: Vec<OutgoingAttempt>,
     answers: Vec<(Ticket, Answer)>,
 }
 
@@ -72,7 +72,12 @@
             _ => Bytes::new(),
         };
         let mut effects = Vec::new();
-        self.core.attempt_ended(self.now, send.attempt, End { outcome, data, load: None }, &mut effects);
+        self.core.attempt_ended(
+            self.now,
+            send.attempt,
+            AttemptEnd { outcome, data, load: None },
+            &mut effects,
+        );
         self.carry_out(effects);
     }
 
@@ -189,7 +194,7 @@
     driver.advance_to(1_001_000);
     assert_eq!(driver.answers, [(Ticket(1), Answer::Failed)]);
     let mut effects = Vec::new();
-    driver.core.attempt_ended(1_500_000, unanswered, End::of(Outcome::Served), &mut effects);
+    driver.core.attempt_ended(1_500_000, unanswered, AttemptEnd::without_data(Outcome::Served), &mut effects);
     driver.carry_out(effects);
     assert_eq!((driver.answers.len(), driver.core.tally().late), (1, 1));
 }
--- a/crates/core/tests/retry_tokens.rs
+++ b/crates/core/tests/retry_tokens.rs
@@ -15,13 +15,13 @@
 }
 
 /// Submits an operation; returns the attempts that are sent and the final answer, if there is one.
-fn submit(core: &mut Core, operation: Operation) -> (Vec<Send>, Option<Answer>) {
+fn submit(core: &mut Core, operation: Operation) -> (Vec<OutgoingAttempt>, Option<Answer>) {
     let mut effects = Vec::new();
     core.submit(1000, operation, &mut effects);
     sends_and_answer(effects)
 }
 
-fn sends_and_answer(effects: Vec<Effect>) -> (Vec<Send>, Option<Answer>) {
+fn sends_and_answer(effects: Vec<Effect>) -> (Vec<OutgoingAttempt>, Option<Answer>) {
     let (mut sends, mut last_answer) = (Vec::new(), None);
     for effect in effects {
         match effect {
@@ -34,7 +34,7 @@
 }
 
 /// The shard of each attempt, and whether the attempt uses a retry token.
-fn shards_and_retries(sends: &[Send]) -> Vec<(ShardId, bool)> {
+fn shards_and_retries(sends: &[OutgoingAttempt]) -> Vec<(ShardId, bool)> {
     sends.iter().map(|s| (s.shard, s.further)).collect()
 }
 
@@ -44,7 +44,7 @@
     let (sends, _) = submit(&mut core, read(1, 0, false));
     assert_eq!(shards_and_retries(&sends), [(ShardId(0), false)]);
     let mut effects = Vec::new();
-    core.attempt_ended(2000, sends[0].attempt, End::of(Outcome::Error), &mut effects);
+    core.attempt_ended(2000, sends[0].attempt, AttemptEnd::without_data(Outcome::Error), &mut effects);
     assert_eq!(shards_and_retries(&sends_and_answer(effects).0), [(ShardId(0), true)]);
     let (sends, _) = submit(&mut core, read(2, 8, true));
     assert_eq!(
@@ -64,7 +64,7 @@
     let (sends, answer) = submit(&mut core, read(3, 0, false));
     assert_eq!((shards_and_retries(&sends), answer), (vec![(ShardId(0), false)], None));
     let mut effects = Vec::new();
-    core.attempt_ended(2000, sends[0].attempt, End::of(Outcome::Error), &mut effects);
+    core.attempt_ended(2000, sends[0].attempt, AttemptEnd::without_data(Outcome::Error), &mut effects);
     assert_eq!(sends_and_answer(effects), (Vec::new(), refused));
     core.set_retry_tokens(3000, ShardId(0), 1, ADVICE, &mut Vec::new());
     assert_eq!(submit(&mut core, read(4, 0, true)).0.len(), 1);
@@ -81,7 +81,12 @@
     assert!(core.take_wanted().is_empty(), "nothing was refused yet");
     submit(&mut core, read(3, 0, true));
     let (first_attempts, _) = submit(&mut core, read(4, 0, false));
-    core.attempt_ended(301_000, first_attempts[0].attempt, End::of(Outcome::Error), &mut Vec::new());
+    core.attempt_ended(
+        301_000,
+        first_attempts[0].attempt,
+        AttemptEnd::without_data(Outcome::Error),
+        &mut Vec::new(),
+    );
     let wanted = |left| Wanted { shard: ShardId(0), worth: 1.0, left };
     assert_eq!(core.take_wanted(), [wanted(1_000_000), wanted(700_000)]);
     assert!(core.take_wanted().is_empty());
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use decisions::NodeId;
 use nvme::{Completion, Status as NvmeStatus, StatusCode};
-use storage_core::{Answer, AttemptId, Effect, End, Micros, Opcode, Send, Ticket};
+use storage_core::{Answer, AttemptEnd, AttemptId, Effect, Micros, Opcode, OutgoingAttempt, Ticket};
 
 use super::Engine;
 use crate::completion::completion_of;
@@ -63,7 +63,7 @@
     }
 
     /// Sends an attempt; a write goes to the journal first, if one is kept.
-    pub(super) fn send(&mut self, now: Micros, send: Send) {
+    pub(super) fn send(&mut self, now: Micros, send: OutgoingAttempt) {
         self.report_attempt_sent(now, &send);
         if send.opcode == Opcode::Write
             && let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal)
@@ -94,16 +94,20 @@
             if error.is_none() {
                 self.send_to_node(now, send);
             } else {
-                self.on_attempt_ended(now, send.attempt, End::of(decisions::Outcome::NotSent));
+                self.on_attempt_ended(
+                    now,
+                    send.attempt,
+                    AttemptEnd::without_data(decisions::Outcome::NotSent),
+                );
             }
         }
     }
 
-    pub(super) fn send_to_node(&mut self, now: Micros, send: Send) {
+    pub(super) fn send_to_node(&mut self, now: Micros, send: OutgoingAttempt) {
         let attempt = send.attempt;
         let end = match self.node_connections.get(&send.node) {
             Some(connection) => connection.send(send, &mut self.dirty_outlets),
-            None => Some(End::of(decisions::Outcome::Unreachable)),
+            None => Some(AttemptEnd::without_data(decisions::Outcome::Unreachable)),
         };
         if let Some(end) = end {
             self.on_attempt_ended(now, attempt, end);
@@ -111,7 +115,7 @@
     }
 
     /// Handles the end of an attempt, reported by its node connection or known because it was never sent.
-    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: End) {
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: AttemptEnd) {
         if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
             journal.attempt_ended(now, attempt, end.outcome);
         }
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -10,7 +10,7 @@
 use fleet::{NodeSight, Standing};
 use nvme::IoCommand;
 use peer::Told;
-use storage_core::{AttemptId, End, Micros, Send, Ticket};
+use storage_core::{AttemptEnd, AttemptId, Micros, OutgoingAttempt, Ticket};
 
 use super::Engine;
 use crate::retry_cap::{RetryCap, RetryIdentity};
@@ -127,7 +127,7 @@
     }
 
     /// An attempt is about to be sent.
-    pub(super) fn report_attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(super) fn report_attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_sent(now, send);
@@ -138,7 +138,7 @@
     }
 
     /// An attempt has ended, as its node connection reports.
-    pub(super) fn report_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(super) fn report_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_ended(now, attempt, end.outcome);
--- a/crates/gateway/src/engine/shadow.rs
+++ b/crates/gateway/src/engine/shadow.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use decisions::{Outcome, ShardId};
 use shadow::ShadowOptions;
-use storage_core::{AttemptId, End, Micros, Opcode, Send};
+use storage_core::{AttemptEnd, AttemptId, Micros, Opcode, OutgoingAttempt};
 
 use super::Engine;
 use crate::coordination::Coordination;
@@ -13,7 +13,7 @@
 
 impl Engine {
     /// Handles the end of a copy.
-    pub(super) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(super) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         if let Some(trial) = self.coordination.as_mut().and_then(|c| c.trial.as_mut()) {
             trial.on_copy_ended(now, attempt, end);
             self.send_copies(now);
@@ -63,10 +63,10 @@
                     .get(&node)
                     .filter(|connection| is_allowed && connection.phase() == "up");
                 let Some(connection) = connection else {
-                    trial.on_copy_ended(now, attempt, &End::of(Outcome::NotSent));
+                    trial.on_copy_ended(now, attempt, &AttemptEnd::without_data(Outcome::NotSent));
                     continue;
                 };
-                let send = Send {
+                let send = OutgoingAttempt {
                     attempt,
                     node,
                     opcode: Opcode::Read,
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -6,7 +6,7 @@
 
 use may::sync::mpsc::Sender;
 use nvme::{Admission, IoCommand};
-use storage_core::{AttemptId, End};
+use storage_core::{AttemptEnd, AttemptId};
 
 use crate::connection::{Connection, ConnectionId};
 use crate::status::{ControlAnswer, ControlRequest};
@@ -27,7 +27,7 @@
     },
     Closed(ConnectionId),
     AssociationEnded(u16),
-    AttemptEnded(AttemptId, End),
+    AttemptEnded(AttemptId, AttemptEnd),
     /// A deadline has been reached.
     Tick,
     /// The records of these writes are durable, or could not be made so.
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -13,7 +13,7 @@
 use decisions::Outcome;
 use may::sync::Semphore;
 use nvme::{GatherList, Initiator, Sqe, Submission, admin};
-use storage_core::{AttemptId, End, Send};
+use storage_core::{AttemptEnd, AttemptId, OutgoingAttempt};
 
 use crate::message::{Inbox, Message};
 use crate::options::LinkOptions;
@@ -51,7 +51,7 @@
     /// The socket whose handshake is in progress.
     connecting_socket: Option<std::net::TcpStream>,
     /// Sends that wait for the connection; if it fails, they end as never sent.
-    waiting_sends: VecDeque<Send>,
+    waiting_sends: VecDeque<OutgoingAttempt>,
     /// Attempts in flight by submission number, with the time of submission.
     in_flight: HashMap<u64, (AttemptId, Instant)>,
     next_submission: u64,
@@ -128,10 +128,14 @@
     /// Sends an attempt, or queues it until the connection is up. Its end is reported once, unless it is
     /// forgotten. `Some` is an end known immediately: the attempt was never sent. An outlet that needs a
     /// flush is added to `dirty_outlets`.
-    pub(crate) fn send(&self, send: Send, dirty_outlets: &mut Vec<Arc<Outlet>>) -> Option<End> {
+    pub(crate) fn send(
+        &self,
+        send: OutgoingAttempt,
+        dirty_outlets: &mut Vec<Arc<Outlet>>,
+    ) -> Option<AttemptEnd> {
         let mut state = self.state();
         match state.phase {
-            Phase::Closed => Some(End::of(Outcome::Unreachable)),
+            Phase::Closed => Some(AttemptEnd::without_data(Outcome::Unreachable)),
             Phase::Connecting => {
                 state.waiting_sends.push_back(send);
                 None
@@ -153,8 +157,15 @@
     /// the attempt is reported as never run; if moreover some attempt has been in flight for longer than the
     /// command timeout, the connection is closed and re-established. This handles nodes that lose commands;
     /// the cost is that everything else in flight is lost too.
-    fn submit(&self, state: &mut State, send: Send, dirty_outlets: &mut Vec<Arc<Outlet>>) -> Option<End> {
-        let Some((initiator, outlet)) = &mut state.queue else { return Some(End::of(Outcome::Unreachable)) };
+    fn submit(
+        &self,
+        state: &mut State,
+        send: OutgoingAttempt,
+        dirty_outlets: &mut Vec<Arc<Outlet>>,
+    ) -> Option<AttemptEnd> {
+        let Some((initiator, outlet)) = &mut state.queue else {
+            return Some(AttemptEnd::without_data(Outcome::Unreachable));
+        };
         let mut submitted = None;
         let flush_needed = outlet
             .append(|out| submitted = initiator.submit(submission_for(&send, state.next_submission), out));
@@ -167,7 +178,7 @@
                 tracing::warn!(address = %self.address, "commands are stuck at a node; reconnecting");
                 outlet.close();
             }
-            return Some(End::of(Outcome::Unreachable));
+            return Some(AttemptEnd::without_data(Outcome::Unreachable));
         }
         state.in_flight.insert(state.next_submission, (send.attempt, Instant::now()));
         state.next_submission += 1;
@@ -229,9 +240,9 @@
             _ => {}
         }
         drop(state);
-        expired
-            .into_iter()
-            .for_each(|s| self.inbox.send(Message::AttemptEnded(s.attempt, End::of(Outcome::Unreachable))));
+        expired.into_iter().for_each(|s| {
+            self.inbox.send(Message::AttemptEnded(s.attempt, AttemptEnd::without_data(Outcome::Unreachable)))
+        });
     }
 
     fn keep_alive(&self, state: &mut State) {
@@ -264,10 +275,12 @@
         };
         let mut lost: Vec<AttemptId> = in_flight.into_values().map(|f| f.0).collect();
         lost.sort();
-        lost.into_iter().for_each(|a| self.inbox.send(Message::AttemptEnded(a, End::of(Outcome::Reset))));
-        waiting
-            .into_iter()
-            .for_each(|s| self.inbox.send(Message::AttemptEnded(s.attempt, End::of(Outcome::Unreachable))));
+        lost.into_iter().for_each(|a| {
+            self.inbox.send(Message::AttemptEnded(a, AttemptEnd::without_data(Outcome::Reset)))
+        });
+        waiting.into_iter().for_each(|s| {
+            self.inbox.send(Message::AttemptEnded(s.attempt, AttemptEnd::without_data(Outcome::Unreachable)))
+        });
         is_closed
     }
 }
--- a/crates/gateway/src/node_connection/replies.rs
+++ b/crates/gateway/src/node_connection/replies.rs
@@ -5,7 +5,7 @@
 use decisions::Outcome;
 use may::net::TcpStream;
 use nvme::{GatherList, HostEvent, Reply, Sqe, StatusCode, Submission};
-use storage_core::{End, Opcode, Send};
+use storage_core::{AttemptEnd, Opcode, OutgoingAttempt};
 
 use super::{NodeConnection, READ_BUFFER_BYTES, State};
 use crate::message::Message;
@@ -69,7 +69,7 @@
     }
 }
 
-pub(super) fn submission_for(send: &Send, user: u64) -> Submission {
+pub(super) fn submission_for(send: &OutgoingAttempt, user: u64) -> Submission {
     let (opcode, expect) = match send.opcode {
         Opcode::Read => (nvme::io::READ, send.bytes),
         Opcode::Write => (nvme::io::WRITE, 0),
@@ -83,7 +83,7 @@
 }
 
 /// The end of an attempt as told by a node's reply. Only the status *full* proves that a command never ran.
-fn end_for_reply(reply: Reply) -> End {
+fn end_for_reply(reply: Reply) -> AttemptEnd {
     let outcome = if reply.status.is_success() {
         Outcome::Served
     } else if reply.status.is(StatusCode::VendorFull) {
@@ -92,5 +92,5 @@
         Outcome::Error
     };
     let load = (outcome == Outcome::Served).then_some(reply.dw0);
-    End { outcome, data: reply.data, load }
+    AttemptEnd { outcome, data: reply.data, load }
 }
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -13,7 +13,7 @@
     Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState, key_of,
     key_of_host,
 };
-use storage_core::{AttemptId, Micros, Send, Shortage, Wanted};
+use storage_core::{AttemptId, Micros, OutgoingAttempt, Shortage, Wanted};
 
 use crate::peer_network::PeerNetwork;
 
@@ -104,7 +104,7 @@
     }
 
     /// An attempt is about to be sent.
-    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         self.attempts.insert(send.attempt, send.shard.0);
         if send.further {
             self.allowances.spend(send.shard.0);
--- a/crates/gateway/src/shadow_trial.rs
+++ b/crates/gateway/src/shadow_trial.rs
@@ -13,7 +13,7 @@
 use decisions::{NodeId, Outcome, RequestId};
 use peer::{PeerName, Told};
 use shadow::{Digest, Input, KIND, Output, Shadow, ShadowOptions, Tried, TryId};
-use storage_core::{AttemptId, End, Micros, Opcode, Send};
+use storage_core::{AttemptEnd, AttemptId, Micros, Opcode, OutgoingAttempt};
 
 use crate::gateway::GatewayError;
 use crate::peer_network::PeerNetwork;
@@ -137,11 +137,11 @@
     }
 
     /// An attempt is about to be sent: a write may run from now on, a read may be sampled.
-    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         if send.opcode == Opcode::Flush || !self.shadow.wants(send.nsid, send.slba, send.blocks) {
             return;
         }
-        let Send { nsid, slba, blocks, node, .. } = *send;
+        let OutgoingAttempt { nsid, slba, blocks, node, .. } = *send;
         if send.opcode == Opcode::Read {
             self.sampled_reads.insert(send.attempt, SampledRead { nsid, slba, blocks, node, began: now });
         } else {
@@ -153,7 +153,7 @@
 
     /// An attempt has ended, as its node connection reports. Of a read only its data is retained: expensive
     /// work waits until the batch with the client's answer has been flushed.
-    pub(crate) fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(crate) fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         if let Some(read) = self.sampled_reads.remove(&attempt)
             && end.outcome == Outcome::Served
         {
@@ -202,7 +202,7 @@
     }
 
     /// Handles the end of a copy.
-    pub(crate) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(crate) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         let outcome = match end.outcome {
             Outcome::Served => Tried::Data(Digest::of(&end.data)),
             Outcome::Unreachable | Outcome::NotSent => Tried::NotSent,
--- a/crates/gateway/src/write_journal.rs
+++ b/crates/gateway/src/write_journal.rs
@@ -7,7 +7,7 @@
 use decisions::Outcome;
 use filelog::{Log, LogError, Opened};
 use recovery::{Digest, Hand, InHand, Note, Place};
-use storage_core::{AttemptId, Micros, Send};
+use storage_core::{AttemptId, Micros, OutgoingAttempt};
 use sync::Giver;
 
 use crate::journal_writer::{self, Job, RecordStore};
@@ -22,7 +22,7 @@
     /// Attempts whose outcome is unknown, by the time after which they cannot run any more.
     unknown_outcomes: BTreeSet<(Micros, u64)>,
     /// Sends that wait for their record to become durable, by sequence number.
-    waiting_sends: BTreeMap<u64, Send>,
+    waiting_sends: BTreeMap<u64, OutgoingAttempt>,
     next_sequence: u64,
     max_execution_time: Micros,
     jobs: Giver<Job>,
@@ -95,7 +95,7 @@
     }
 
     /// Journals a write to a node with this start time; it is sent once its record is durable.
-    pub(crate) fn append(&mut self, send: Send, shard: u32, node: &str, started: i64) {
+    pub(crate) fn append(&mut self, send: OutgoingAttempt, shard: u32, node: &str, started: i64) {
         let number = self.in_progress.number();
         self.record_numbers.insert(send.attempt, number);
         let place = Place { nsid: send.nsid, slba: send.slba, blocks: send.blocks, shard };
@@ -116,7 +116,7 @@
     }
 
     /// The send whose record is durable, or could not be made so; `None` if it is no longer awaited.
-    pub(crate) fn take_durable(&mut self, sequence: u64) -> Option<Send> {
+    pub(crate) fn take_durable(&mut self, sequence: u64) -> Option<OutgoingAttempt> {
         self.waiting_sends.remove(&sequence)
     }
 
