--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -104,7 +104,7 @@
         let block_size = volume.block_size;
         if let Some(view) = self.volume_views.get_mut(&operation.nsid) {
             view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
-            view.taken += 1;
+            view.accepted += 1;
             view.open += 1;
         }
         let mut pieces = Vec::with_capacity(parts.len());
@@ -118,7 +118,7 @@
                 attempts_possibly_run: 0,
             });
         }
-        self.tally.taken += 1;
+        self.tally.accepted += 1;
         let mut operation = operation;
         let has_client_token = operation.token != 0;
         if !has_client_token {
@@ -371,8 +371,8 @@
             let start = (part.slba - operation.slba) as usize * open.block_size as usize;
             operation.data.slice(start..start + bytes as usize)
         };
-        let further = attempt.n > 0 || operation.retry;
-        if further {
+        let is_retry = attempt.n > 0 || operation.retry;
+        if is_retry {
             self.retry_demands.use_token(part.shard);
         }
         effects.push(Effect::Send(OutgoingAttempt {
@@ -385,7 +385,7 @@
             bytes,
             data,
             shard: part.shard,
-            further,
+            is_retry,
             token: operation.token,
             keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
         }));
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -44,7 +44,7 @@
     pub shard: ShardId,
     /// The attempt uses a retry token: it is not the first of its part, or the operation is marked as a
     /// client's retry. See [`Core::set_retry_tokens`](crate::Core::set_retry_tokens).
-    pub further: bool,
+    pub is_retry: bool,
     /// Idempotency token of the operation.
     pub token: u64,
     /// Nodes must discard duplicates of the attempt by its token.
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Operations accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Operations served.
     pub served: u64,
     /// Operations refused.
@@ -27,7 +27,7 @@
     /// Attempts sent.
     pub sent: u64,
     /// Attempts sent after a request's first: retries and hedges.
-    pub further: u64,
+    pub retries: u64,
     /// Attempt ends reported after the core had stopped waiting for them.
     pub late: u64,
 }
@@ -38,7 +38,7 @@
     /// Operations that are open.
     pub open: u64,
     /// Operations accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Operations served.
     pub served: u64,
     /// Operations refused.
@@ -61,7 +61,7 @@
     /// Index of its class.
     pub class: usize,
     /// Time at which it was accepted.
-    pub taken: Micros,
+    pub accepted_at: Micros,
     /// Number of attempts sent so far.
     pub attempts: u32,
     /// Nodes with an attempt in flight.
@@ -142,8 +142,8 @@
 
     /// Returns the counters since the start.
     pub fn tally(&self) -> Tally {
-        let dispatch::Counts { sent, further, late, .. } = self.dispatcher.counts();
-        Tally { sent, further, late, ..self.tally }
+        let dispatch::Counts { sent, retries, late, .. } = self.dispatcher.counts();
+        Tally { sent, retries, late, ..self.tally }
     }
 
     /// Returns the known nodes by number.
@@ -167,12 +167,12 @@
             nsid: open.operation.nsid,
             opcode: open.operation.opcode,
             class: open.class,
-            taken: open.accepted_at,
+            accepted_at: open.accepted_at,
             attempts: open.pieces.iter().map(|p| p.attempts_sent).sum(),
             nodes: open.pieces.iter().filter_map(|p| nodes.get(&p.request)).flatten().copied().collect(),
         };
         let mut views: Vec<OpenView> = self.open.iter().map(view).collect();
-        views.sort_by_key(|v| (v.taken, v.ticket));
+        views.sort_by_key(|v| (v.accepted_at, v.ticket));
         views
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -357,6 +357,6 @@
         }
         let tally = driver.core.tally();
         let ends = tally.served + tally.refused + tally.failed + tally.aborted + tally.withdrawn;
-        prop_assert_eq!(tally.taken, ends);
+        prop_assert_eq!(tally.accepted, ends);
     }
 }
--- a/crates/core/tests/retry_tokens.rs
+++ b/crates/core/tests/retry_tokens.rs
@@ -35,7 +35,7 @@
 
 /// The shard of each attempt, and whether the attempt uses a retry token.
 fn shards_and_retries(sends: &[OutgoingAttempt]) -> Vec<(ShardId, bool)> {
-    sends.iter().map(|s| (s.shard, s.further)).collect()
+    sends.iter().map(|s| (s.shard, s.is_retry)).collect()
 }
 
 #[test]
@@ -69,7 +69,7 @@
     core.set_retry_tokens(3000, ShardId(0), 1, ADVICE, &mut Vec::new());
     assert_eq!(submit(&mut core, read(4, 0, true)).0.len(), 1);
     assert_eq!(submit(&mut core, read(5, 0, true)).0.len(), 0);
-    assert_eq!((core.tally().taken, core.tally().refused, core.open_operations()), (5, 3, 2));
+    assert_eq!((core.tally().accepted, core.tally().refused, core.open_operations()), (5, 3, 2));
 }
 
 #[test]
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Requests served.
     pub served: u64,
     /// Requests refused.
@@ -29,7 +29,7 @@
     /// Attempts sent.
     pub sent: u64,
     /// Attempts sent after a request's first: retries and hedges.
-    pub further: u64,
+    pub retries: u64,
     /// Attempt ends reported after the dispatcher had stopped waiting for them.
     pub late: u64,
 }
@@ -109,7 +109,7 @@
         request.id = id;
         self.requests
             .insert(id, OpenRequest { payload, deadline: self.now + request.patience, attempts_sent: 0 });
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         self.events.push_back(Event::Request(request));
         id
     }
@@ -337,7 +337,7 @@
         let attempt = AttemptId { request, n: open.attempts_sent };
         open.attempts_sent += 1;
         self.counts.sent += 1;
-        self.counts.further += u64::from(attempt.n > 0);
+        self.counts.retries += u64::from(attempt.n > 0);
         let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
--- a/crates/gateway/src/engine/shadow.rs
+++ b/crates/gateway/src/engine/shadow.rs
@@ -76,7 +76,7 @@
                     bytes: blocks * size,
                     data: Bytes::new(),
                     shard: ShardId(shard),
-                    further: true,
+                    is_retry: true,
                     // A token of its own, shared with no client command and no other copy.
                     token: attempt.request.0 ^ self.options.seed,
                     keyed: false,
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -106,10 +106,10 @@
     /// An attempt is about to be sent.
     pub(crate) fn attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         self.attempts.insert(send.attempt, send.shard.0);
-        if send.further {
+        if send.is_retry {
             self.allowances.spend(send.shard.0);
         }
-        self.handle(now, Input::Sent { shard: send.shard.0, further: send.further });
+        self.handle(now, Input::Sent { shard: send.shard.0, further: send.is_retry });
     }
 
     /// Whether a shadow copy may be sent to a shard: only beside normal traffic, and with a retry token of
