--- a/crates/core/benches/core.rs
+++ b/crates/core/benches/core.rs
@@ -10,12 +10,12 @@
 fn operation(c: &mut Criterion) {
     let mut core = common::core();
     let mut effects = Vec::new();
-    let (mut now, mut ticket) = (0, 0);
+    let (mut now, mut id) = (0, 0);
     c.bench_function("one read, served", |b| {
         b.iter(|| {
             now += 100;
-            ticket += 1;
-            let operation = common::operation(ticket, Opcode::Read, ticket % 64, 1, Bytes::new());
+            id += 1;
+            let operation = common::operation(id, Opcode::Read, id % 64, 1, Bytes::new());
             core.submit(now, operation, &mut effects);
             for effect in std::mem::take(&mut effects) {
                 if let Effect::Send(send) = effect {
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -7,9 +7,9 @@
 use crate::catalogue::Catalogue;
 use crate::core::{Core, OpenOperation, PieceState};
 use crate::effect::Effect;
-use crate::operation::{Answer, Opcode, Ticket};
-use crate::retry_demand::Wanted;
-use crate::views::EndedView;
+use crate::operation::{Answer, Opcode, OperationId};
+use crate::retry_demand::RetryDemand;
+use crate::views::UnservedView;
 
 /// Number of operations that ended unserved to keep for the status page.
 const MAX_UNSERVED_VIEWS: usize = 200;
@@ -19,14 +19,14 @@
     /// safely retry all of it: a write of which another part was carried out must not be reported as refused.
     pub(crate) fn end_unserved(
         &mut self,
-        ticket: Ticket,
+        id: OperationId,
         index: usize,
         verdict: Verdict,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.open.get_mut(&ticket) else { return };
+        let Some(open) = self.open.get_mut(&id) else { return };
         open.pieces[index].state = PieceState::Unserved;
-        let Some(open) = self.open.get(&ticket) else { return };
+        let Some(open) = self.open.get(&id) else { return };
         let answer = match verdict {
             Verdict::Refused { come_back } if self.retry_is_safe(open) => Answer::Refused { come_back },
             _ => Answer::Failed,
@@ -35,15 +35,15 @@
         if piece.attempts_sent > 0 || open.operation.retry {
             let Catalogue { settings, rules, .. } = &self.catalogue;
             let plan = self.catalogue.volume(open.operation.nsid).map_or(0, |v| v.plan);
-            self.retry_demands.record_unserved(Wanted {
+            self.retry_demands.record_unserved(RetryDemand {
                 shard: piece.part.shard,
                 worth: settings.classes[open.class].worth * settings.plans[plan].price,
-                left: open.accepted_at + rules[open.class].patience - self.now,
+                remaining_time: open.accepted_at + rules[open.class].patience - self.now,
             });
         }
-        self.count_unserved(ticket, &answer);
-        self.remove_operation(ticket);
-        effects.push(Effect::Answer(ticket, answer));
+        self.count_unserved(id, &answer);
+        self.remove_operation(id);
+        effects.push(Effect::Answer(id, answer));
     }
 
     /// Whether the client may retry the whole operation without a second effect: no part can have run, or the
@@ -62,12 +62,12 @@
     }
 
     /// Counts an operation that ended unserved and keeps a view of it.
-    pub(crate) fn count_unserved(&mut self, ticket: Ticket, answer: &Answer) {
-        let Some(open) = self.open.get(&ticket) else { return };
+    pub(crate) fn count_unserved(&mut self, id: OperationId, answer: &Answer) {
+        let Some(open) = self.open.get(&id) else { return };
         let failed = u64::from(*answer == Answer::Failed);
-        let view = EndedView {
+        let view = UnservedView {
             at: self.now,
-            ticket,
+            id,
             nsid: open.operation.nsid,
             opcode: open.operation.opcode,
             class: open.class,
@@ -93,12 +93,12 @@
     }
 
     /// Answers an operation once all of its parts are served.
-    pub(crate) fn answer_if_complete(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) {
-        let Some(open) = self.open.get(&ticket) else { return };
+    pub(crate) fn answer_if_complete(&mut self, id: OperationId, effects: &mut Vec<Effect>) {
+        let Some(open) = self.open.get(&id) else { return };
         if open.pieces.iter().any(|piece| !matches!(piece.state, PieceState::Served(_))) {
             return;
         }
-        let Some(open) = self.open.remove(&ticket) else { return };
+        let Some(open) = self.open.remove(&id) else { return };
         let mut parts = open.pieces.into_iter().filter_map(|piece| match piece.state {
             PieceState::Served(data) => Some(data),
             _ => None,
@@ -117,6 +117,6 @@
             view.open -= 1;
         }
         self.tally.served += 1;
-        effects.push(Effect::Answer(ticket, Answer::Served(data)));
+        effects.push(Effect::Answer(id, Answer::Served(data)));
     }
 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -9,9 +9,9 @@
 
 use crate::catalogue::{Catalogue, Part, Volume};
 use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
-use crate::operation::{Answer, Operation, Ticket};
-use crate::retry_demand::{RetryDemands, Wanted};
-use crate::views::{EndedView, Tally, VolumeView};
+use crate::operation::{Answer, Operation, OperationId};
+use crate::retry_demand::{RetryDemand, RetryDemands};
+use crate::views::{OperationCounts, UnservedView, VolumeView};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PieceState {
@@ -45,20 +45,20 @@
 }
 
 /// Payload of a dispatcher request: the operation that it belongs to, and the index of its piece.
-type PieceRef = (Ticket, usize);
+type PieceRef = (OperationId, usize);
 
 /// One gateway's core.
 pub struct Core {
     pub(crate) catalogue: Catalogue,
     pub(crate) dispatcher: Dispatcher<PieceRef>,
     pub(crate) now: Micros,
-    pub(crate) open: HashMap<Ticket, OpenOperation>,
+    pub(crate) open: HashMap<OperationId, OpenOperation>,
     /// Randomizes the tokens generated for operations without one.
     token_salt: u64,
     pub(crate) volume_views: BTreeMap<u32, VolumeView>,
-    pub(crate) tally: Tally,
+    pub(crate) tally: OperationCounts,
     /// The latest operations that ended unserved, oldest first.
-    pub(crate) unserved: VecDeque<EndedView>,
+    pub(crate) unserved: VecDeque<UnservedView>,
     /// Operations that ended unserved, by reason.
     pub(crate) reasons: BTreeMap<&'static str, u64>,
     pub(crate) retry_demands: RetryDemands,
@@ -77,7 +77,7 @@
             open: HashMap::new(),
             token_salt: seed,
             volume_views,
-            tally: Tally::default(),
+            tally: OperationCounts::default(),
             unserved: VecDeque::new(),
             reasons: BTreeMap::new(),
             retry_demands: RetryDemands::default(),
@@ -93,9 +93,9 @@
     /// volume is refused without retry advice.
     pub fn submit(&mut self, now: Micros, operation: Operation, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let ticket = operation.ticket;
+        let id = operation.id;
         let Some(volume) = self.catalogue.volume(operation.nsid) else {
-            effects.push(Effect::Answer(ticket, Answer::Refused { come_back: 0 }));
+            effects.push(Effect::Answer(id, Answer::Refused { come_back: 0 }));
             return;
         };
         let bytes = u64::from(operation.blocks) * u64::from(volume.block_size);
@@ -109,7 +109,7 @@
         }
         let mut pieces = Vec::with_capacity(parts.len());
         for (index, (part, request)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.submit(self.now, request, (ticket, index));
+            let request = self.dispatcher.submit(self.now, request, (id, index));
             pieces.push(Piece {
                 request,
                 part,
@@ -122,11 +122,11 @@
         let mut operation = operation;
         let has_client_token = operation.token != 0;
         if !has_client_token {
-            operation.token = self.token_salt ^ (ticket.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            operation.token = self.token_salt ^ (id.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         }
         let accepted_at = self.now;
         self.open.insert(
-            ticket,
+            id,
             OpenOperation {
                 operation,
                 has_client_token,
@@ -167,33 +167,33 @@
 
     /// Withdraws an operation whose client has gone: it gets no answer and no more attempts. Returns whether
     /// any attempt had been sent.
-    pub fn withdraw(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    pub fn withdraw(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
+        let Some(open) = self.open.get(&id) else { return false };
         let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
-        self.remove_operation(ticket);
+        self.remove_operation(id);
         self.carry_out_commands(effects);
         was_sent
     }
 
     /// Aborts an operation if no attempt was sent; returns whether it was aborted. An aborted operation gets
     /// no answer.
-    pub fn abort(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    pub fn abort(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
+        let Some(open) = self.open.get(&id) else { return false };
         if open.pieces.iter().any(|piece| piece.attempts_sent > 0) {
             return false;
         }
         self.tally.aborted += 1;
-        self.remove_operation(ticket);
+        self.remove_operation(id);
         self.carry_out_commands(effects);
         true
     }
 
     /// Removes an open operation and withdraws the requests of its unfinished parts.
-    pub(crate) fn remove_operation(&mut self, ticket: Ticket) {
-        let Some(open) = self.open.remove(&ticket) else { return };
+    pub(crate) fn remove_operation(&mut self, id: OperationId) {
+        let Some(open) = self.open.remove(&id) else { return };
         if let Some(view) = self.volume_views.get_mut(&open.operation.nsid) {
             view.open -= 1;
         }
@@ -205,18 +205,18 @@
     /// Answers every open operation at shutdown: refused if the client may safely retry it, failed otherwise.
     pub fn end_all(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let mut tickets: Vec<Ticket> = self.open.keys().copied().collect();
-        tickets.sort();
-        for ticket in tickets {
-            let Some(open) = self.open.get(&ticket) else { continue };
+        let mut ids: Vec<OperationId> = self.open.keys().copied().collect();
+        ids.sort();
+        for id in ids {
+            let Some(open) = self.open.get(&id) else { continue };
             let answer = if self.retry_is_safe(open) {
                 Answer::Refused { come_back: self.catalogue.settings.most_advice }
             } else {
                 Answer::Failed
             };
-            self.count_unserved(ticket, &answer);
-            self.remove_operation(ticket);
-            effects.push(Effect::Answer(ticket, answer));
+            self.count_unserved(id, &answer);
+            self.remove_operation(id);
+            effects.push(Effect::Answer(id, answer));
         }
         self.carry_out_commands(effects);
     }
@@ -231,21 +231,21 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
+        if let Some(&(id, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
             && self.dispatcher.is_in_flight(attempt)
-            && let Some(open) = self.open.get_mut(&ticket)
+            && let Some(open) = self.open.get_mut(&id)
         {
             open.last_outcome = Some(end.outcome);
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
             open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
         let served = self.dispatcher.attempt_ended(self.now, attempt, end.outcome, end.load);
-        if let Some((ticket, index)) = served
-            && let Some(open) = self.open.get_mut(&ticket)
+        if let Some((id, index)) = served
+            && let Some(open) = self.open.get_mut(&id)
         {
             open.pieces[index].state = PieceState::Served(end.data);
-            self.answer_if_complete(ticket, effects);
+            self.answer_if_complete(id, effects);
         }
         self.carry_out_commands(effects);
     }
@@ -303,7 +303,7 @@
 
     /// Returns the parts refused for lack of a retry token since the last call, oldest first; the last 256 at
     /// most.
-    pub fn take_wanted(&mut self) -> VecDeque<Wanted> {
+    pub fn take_retry_demands(&mut self) -> VecDeque<RetryDemand> {
         self.retry_demands.take()
     }
 
@@ -341,15 +341,15 @@
             match command {
                 Command::Send { attempt, node, .. } => self.send(attempt, node, effects),
                 Command::Abandon(attempt, node, outcome) => {
-                    if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
-                        && let Some(open) = self.open.get_mut(&ticket)
+                    if let Some(&(id, _)) = self.dispatcher.payload(attempt.request)
+                        && let Some(open) = self.open.get_mut(&id)
                     {
                         open.last_outcome = Some(outcome);
                     }
                     effects.push(Effect::Abandon(attempt, node));
                 }
-                Command::EndUnserved(_, (ticket, index), verdict) => {
-                    self.end_unserved(ticket, index, verdict, effects)
+                Command::EndUnserved(_, (id, index), verdict) => {
+                    self.end_unserved(id, index, verdict, effects)
                 }
                 Command::Subscribe => effects.push(Effect::Subscribe),
                 Command::Log(line) => effects.push(Effect::Log(line)),
@@ -358,8 +358,8 @@
     }
 
     fn send(&mut self, attempt: AttemptId, node: NodeId, effects: &mut Vec<Effect>) {
-        let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request) else { return };
-        let Some(open) = self.open.get_mut(&ticket) else { return };
+        let Some(&(id, index)) = self.dispatcher.payload(attempt.request) else { return };
+        let Some(open) = self.open.get_mut(&id) else { return };
         let piece = &mut open.pieces[index];
         piece.attempts_sent += 1;
         piece.attempts_possibly_run += 1;
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -4,7 +4,7 @@
 use decisions::{NodeId, Outcome, ShardId};
 use dispatch::AttemptId;
 
-use crate::operation::{Answer, Opcode, Ticket};
+use crate::operation::{Answer, Opcode, OperationId};
 
 /// An effect for the caller to carry out.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// The attempt timed out or was cancelled. Its end need not be reported.
     Abandon(AttemptId, NodeId),
     /// Deliver the final answer to an operation.
-    Answer(Ticket, Answer),
+    Answer(OperationId, Answer),
     /// Subscribe to the node list for the scheduler.
     Subscribe,
     /// Write a line to the operators' log.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`Core`] gives each operation exactly one final answer. It makes no decisions about requests: the
 //! scheduler chooses nodes, send times and the number of attempts, and decides whether a request is refused
 //! or failed. It knows no sockets and no protocols: a protocol front end submits an [`Operation`] and gets an
-//! [`Answer`] under the same [`Ticket`]; connections to nodes send each [`OutgoingAttempt`] and report how it
-//! [ended](Core::attempt_ended).
+//! [`Answer`] under the same [`OperationId`]; connections to nodes send each [`OutgoingAttempt`] and report
+//! how it [ended](Core::attempt_ended).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,8 +22,8 @@
 pub use crate::catalogue::{Catalogue, CatalogueError, ClassRule, Part, Volume};
 pub use crate::core::Core;
 pub use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
-pub use crate::operation::{Answer, Opcode, Operation, Ticket};
-pub use crate::retry_demand::Wanted;
-pub use crate::views::{EndedView, OpenView, Tally, VolumeView};
+pub use crate::operation::{Answer, Opcode, Operation, OperationId};
+pub use crate::retry_demand::RetryDemand;
+pub use crate::views::{OpenOperationView, OperationCounts, UnservedView, VolumeView};
 pub use decisions::{ClientId, Shortage};
 pub use dispatch::{AttemptId, ListedNode, Micros, NodeLook, NodeState, NodeView, Outcome};
--- a/crates/core/src/operation.rs
+++ b/crates/core/src/operation.rs
@@ -5,7 +5,7 @@
 
 /// Identifies an operation. Chosen by the front end, which must not reuse it while the operation is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct OperationId(pub u64);
 
 /// What an operation does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Operation {
     /// Identifies the operation to the front end.
-    pub ticket: Ticket,
+    pub id: OperationId,
     /// Kind of operation.
     pub opcode: Opcode,
     /// Namespace identifier of the volume.
--- a/crates/core/src/retry_demand.rs
+++ b/crates/core/src/retry_demand.rs
@@ -7,13 +7,13 @@
 
 /// A part of an operation that ended unserved while its shard had no retry token left for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
+pub struct RetryDemand {
     /// Shard that the part lies on.
     pub shard: ShardId,
     /// Worth of its class times the price of its plan.
     pub worth: f64,
     /// Time that its client would still have waited, in microseconds.
-    pub left: Micros,
+    pub remaining_time: Micros,
 }
 
 /// Demands kept until they are fetched. The limit bounds memory if nobody fetches them. In a burst the oldest
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct RetryDemands {
     tokens_left: BTreeMap<ShardId, u32>,
-    pending: VecDeque<Wanted>,
+    pending: VecDeque<RetryDemand>,
 }
 
 impl RetryDemands {
@@ -43,18 +43,18 @@
 
     /// Records a part that needed a token and ended unserved, if its shard has none left and its client still
     /// waits.
-    pub(crate) fn record_unserved(&mut self, wanted: Wanted) {
-        if self.tokens_left.get(&wanted.shard) != Some(&0) || wanted.left <= 0 {
+    pub(crate) fn record_unserved(&mut self, demand: RetryDemand) {
+        if self.tokens_left.get(&demand.shard) != Some(&0) || demand.remaining_time <= 0 {
             return;
         }
         if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
         }
-        self.pending.push_back(wanted);
+        self.pending.push_back(demand);
     }
 
     /// Removes and returns the pending demands, oldest first.
-    pub(crate) fn take(&mut self) -> VecDeque<Wanted> {
+    pub(crate) fn take(&mut self) -> VecDeque<RetryDemand> {
         std::mem::take(&mut self.pending)
     }
 }
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -7,11 +7,11 @@
 use dispatch::NodeView;
 
 use crate::core::{Core, OpenOperation};
-use crate::operation::{Opcode, Ticket};
+use crate::operation::{Opcode, OperationId};
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OperationCounts {
     /// Operations accepted.
     pub accepted: u64,
     /// Operations served.
@@ -51,9 +51,9 @@
 
 /// An open operation.
 #[derive(Clone, Debug)]
-pub struct OpenView {
+pub struct OpenOperationView {
     /// Identifies the operation.
-    pub ticket: Ticket,
+    pub id: OperationId,
     /// Namespace identifier of the volume.
     pub nsid: u32,
     /// Kind of operation.
@@ -70,11 +70,11 @@
 
 /// An operation that ended unserved.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndedView {
+pub struct UnservedView {
     /// Time at which it ended.
     pub at: Micros,
     /// Identifies the operation.
-    pub ticket: Ticket,
+    pub id: OperationId,
     /// Namespace identifier of the volume.
     pub nsid: u32,
     /// Kind of operation.
@@ -91,7 +91,7 @@
     pub last: Option<Outcome>,
 }
 
-impl EndedView {
+impl UnservedView {
     /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the
     /// gateway's status.
     pub fn reason(&self) -> &'static str {
@@ -115,7 +115,7 @@
     }
 
     /// Returns the latest operations that ended unserved, oldest first.
-    pub fn ended_views(&self) -> impl DoubleEndedIterator<Item = &EndedView> {
+    pub fn unserved_views(&self) -> impl DoubleEndedIterator<Item = &UnservedView> {
         self.unserved.iter()
     }
 
@@ -125,7 +125,7 @@
         self.dispatcher.unserved_by_cause()
     }
 
-    /// Returns the number of operations that ended unserved, by [reason](EndedView::reason).
+    /// Returns the number of operations that ended unserved, by [reason](UnservedView::reason).
     pub fn reasons(&self) -> &BTreeMap<&'static str, u64> {
         &self.reasons
     }
@@ -141,9 +141,9 @@
     }
 
     /// Returns the counters since the start.
-    pub fn tally(&self) -> Tally {
-        let dispatch::Counts { sent, retries, late, .. } = self.dispatcher.counts();
-        Tally { sent, retries, late, ..self.tally }
+    pub fn counts(&self) -> OperationCounts {
+        let dispatch::RequestCounts { sent, retries, late, .. } = self.dispatcher.counts();
+        OperationCounts { sent, retries, late, ..self.tally }
     }
 
     /// Returns the known nodes by number.
@@ -157,13 +157,13 @@
     }
 
     /// Returns the open operations, oldest first.
-    pub fn open_views(&self) -> Vec<OpenView> {
+    pub fn open_views(&self) -> Vec<OpenOperationView> {
         let mut nodes: HashMap<RequestId, Vec<NodeId>> = HashMap::new();
         for (attempt, node) in self.dispatcher.attempts_in_flight() {
             nodes.entry(attempt.request).or_default().push(node);
         }
-        let view = |(&ticket, open): (&Ticket, &OpenOperation)| OpenView {
-            ticket,
+        let view = |(&id, open): (&OperationId, &OpenOperation)| OpenOperationView {
+            id,
             nsid: open.operation.nsid,
             opcode: open.operation.opcode,
             class: open.class,
@@ -171,8 +171,8 @@
             attempts: open.pieces.iter().map(|p| p.attempts_sent).sum(),
             nodes: open.pieces.iter().filter_map(|p| nodes.get(&p.request)).flatten().copied().collect(),
         };
-        let mut views: Vec<OpenView> = self.open.iter().map(view).collect();
-        views.sort_by_key(|v| (v.accepted_at, v.ticket));
+        let mut views: Vec<OpenOperationView> = self.open.iter().map(view).collect();
+        views.sort_by_key(|v| (v.accepted_at, v.id));
         views
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -13,7 +13,7 @@
     core: Core,
     now: Micros,
     in_flight: Vec<OutgoingAttempt>,
-    answers: Vec<(Ticket, Answer)>,
+    answers: Vec<(OperationId, Answer)>,
 }
 
 impl Driver {
@@ -32,9 +32,9 @@
         for effect in effects {
             match effect {
                 Effect::Send(send) => self.in_flight.push(send),
-                Effect::Answer(ticket, answer) => {
-                    assert!(!self.answers.iter().any(|a| a.0 == ticket), "{ticket:?} got two final answers");
-                    self.answers.push((ticket, answer));
+                Effect::Answer(id, answer) => {
+                    assert!(!self.answers.iter().any(|a| a.0 == id), "{id:?} got two final answers");
+                    self.answers.push((id, answer));
                 }
                 Effect::Abandon(attempt, _) => self.in_flight.retain(|s| s.attempt != attempt),
                 _ => {}
@@ -42,20 +42,20 @@
         }
     }
 
-    fn submit(&mut self, ticket: u64, opcode: Opcode, slba: u64, blocks: u32) {
+    fn submit(&mut self, id: u64, opcode: Opcode, slba: u64, blocks: u32) {
         let data = match opcode {
             Opcode::Write => (0..blocks * 4096).map(|n| (n / 4096) as u8).collect(),
             _ => Bytes::new(),
         };
         let mut effects = Vec::new();
-        self.core.submit(self.now, operation(ticket, opcode, slba, blocks, data), &mut effects);
+        self.core.submit(self.now, operation(id, opcode, slba, blocks, data), &mut effects);
         self.carry_out(effects);
     }
 
     /// Submits a write by a client that sets no token.
-    fn submit_without_token(&mut self, ticket: u64, slba: u64, blocks: u32) {
+    fn submit_without_token(&mut self, id: u64, slba: u64, blocks: u32) {
         let data = Bytes::from(vec![7; blocks as usize * 4096]);
-        let mut write = operation(ticket, Opcode::Write, slba, blocks, data);
+        let mut write = operation(id, Opcode::Write, slba, blocks, data);
         write.token = 0;
         let mut effects = Vec::new();
         self.core.submit(self.now, write, &mut effects);
@@ -104,7 +104,9 @@
     driver.end(1, Outcome::Served);
     assert!(driver.answers.is_empty());
     driver.end(0, Outcome::Served);
-    let [(Ticket(1), Answer::Served(data))] = &driver.answers[..] else { panic!("{:?}", driver.answers) };
+    let [(OperationId(1), Answer::Served(data))] = &driver.answers[..] else {
+        panic!("{:?}", driver.answers)
+    };
     let blocks: Vec<u8> = data.chunks(4096).map(|b| b[0]).collect();
     assert_eq!(blocks, [6, 7, 8, 9]);
 }
@@ -115,7 +117,7 @@
     driver.submit(1, Opcode::Write, 6, 4);
     driver.end(0, Outcome::Served);
     driver.advance_to(5_000_000);
-    assert_eq!(driver.answers, [(Ticket(1), Answer::Failed)]);
+    assert_eq!(driver.answers, [(OperationId(1), Answer::Failed)]);
     assert_eq!(driver.core.open_operations(), 0);
 }
 
@@ -133,7 +135,7 @@
             driver.advance_to(driver.now + 500_000);
         }
         driver.advance_to(5_000_000);
-        let [(Ticket(1), answer)] = &driver.answers[..] else { panic!("{:?}", driver.answers) };
+        let [(OperationId(1), answer)] = &driver.answers[..] else { panic!("{:?}", driver.answers) };
         assert_eq!(*answer == Answer::Failed, without_token, "{answer:?}");
     }
 }
@@ -148,7 +150,7 @@
             driver.advance_to(driver.now + 500_000);
         }
         driver.advance_to(5_000_000);
-        let [(Ticket(1), answer)] = &driver.answers[..] else { panic!("{:?}", driver.answers) };
+        let [(OperationId(1), answer)] = &driver.answers[..] else { panic!("{:?}", driver.answers) };
         assert_eq!(*answer == Answer::Failed, failed, "{outcome:?}: {answer:?}");
     }
 }
@@ -162,8 +164,8 @@
     driver.submit_without_token(2, 8, 2);
     driver.core.end_all(driver.now, &mut effects);
     driver.carry_out(effects);
-    assert_eq!(driver.answers[0], (Ticket(1), Answer::Failed));
-    assert!(matches!(driver.answers[1], (Ticket(2), Answer::Refused { .. })), "{:?}", driver.answers);
+    assert_eq!(driver.answers[0], (OperationId(1), Answer::Failed));
+    assert!(matches!(driver.answers[1], (OperationId(2), Answer::Refused { .. })), "{:?}", driver.answers);
 }
 
 #[test]
@@ -183,7 +185,7 @@
     assert_eq!(driver.in_flight.len(), 2);
     driver.end(0, Outcome::Served);
     driver.end(0, Outcome::Served);
-    assert_eq!(driver.answers, [(Ticket(1), Answer::Served(Bytes::new()))]);
+    assert_eq!(driver.answers, [(OperationId(1), Answer::Served(Bytes::new()))]);
 }
 
 #[test]
@@ -192,11 +194,11 @@
     driver.submit(1, Opcode::Write, 0, 1);
     let unanswered = driver.in_flight[0].attempt;
     driver.advance_to(1_001_000);
-    assert_eq!(driver.answers, [(Ticket(1), Answer::Failed)]);
+    assert_eq!(driver.answers, [(OperationId(1), Answer::Failed)]);
     let mut effects = Vec::new();
     driver.core.attempt_ended(1_500_000, unanswered, AttemptEnd::without_data(Outcome::Served), &mut effects);
     driver.carry_out(effects);
-    assert_eq!((driver.answers.len(), driver.core.tally().late), (1, 1));
+    assert_eq!((driver.answers.len(), driver.core.counts().late), (1, 1));
 }
 
 #[test]
@@ -208,7 +210,7 @@
         driver.advance_to(driver.now + 100_000);
     }
     driver.advance_to(3_000_000);
-    assert!(matches!(driver.answers[..], [(Ticket(1), Answer::Refused { .. })]), "{:?}", driver.answers);
+    assert!(matches!(driver.answers[..], [(OperationId(1), Answer::Refused { .. })]), "{:?}", driver.answers);
 }
 
 #[test]
@@ -218,13 +220,13 @@
     driver.submit(2, Opcode::Write, 0, 1); // Waits: operations on one key are sent in order.
     assert_eq!(driver.in_flight.len(), 1);
     let mut effects = Vec::new();
-    assert!(!driver.core.abort(driver.now, Ticket(1), &mut effects));
-    assert!(driver.core.abort(driver.now, Ticket(2), &mut effects));
-    assert!(!driver.core.abort(driver.now, Ticket(2), &mut effects));
+    assert!(!driver.core.abort(driver.now, OperationId(1), &mut effects));
+    assert!(driver.core.abort(driver.now, OperationId(2), &mut effects));
+    assert!(!driver.core.abort(driver.now, OperationId(2), &mut effects));
     driver.carry_out(effects);
     driver.end(0, Outcome::Served);
     driver.advance_to(5_000_000);
-    assert_eq!(driver.answers, [(Ticket(1), Answer::Served(Bytes::new()))]);
+    assert_eq!(driver.answers, [(OperationId(1), Answer::Served(Bytes::new()))]);
     assert!(driver.in_flight.is_empty(), "the aborted operation must not be sent");
 }
 
@@ -234,13 +236,13 @@
     driver.submit(1, Opcode::Write, 0, 1);
     driver.submit(2, Opcode::Write, 0, 1);
     let mut effects = Vec::new();
-    driver.core.withdraw(driver.now, Ticket(1), &mut effects);
+    driver.core.withdraw(driver.now, OperationId(1), &mut effects);
     driver.carry_out(effects);
     assert_eq!(driver.in_flight.len(), 1, "the second write waits until the first has ended");
     driver.end(0, Outcome::Served);
     assert_eq!(driver.in_flight.len(), 1);
     driver.end(0, Outcome::Served);
-    assert_eq!(driver.answers, [(Ticket(2), Answer::Served(Bytes::new()))]);
+    assert_eq!(driver.answers, [(OperationId(2), Answer::Served(Bytes::new()))]);
 }
 
 #[test]
@@ -253,7 +255,7 @@
     driver.submit(2, Opcode::Read, 8, 1);
     assert_eq!(driver.in_flight.iter().map(|s| s.node).collect::<Vec<_>>(), [NodeId(1)]);
     driver.advance_to(3_000_000);
-    assert!(matches!(driver.answers[0], (Ticket(1), Answer::Refused { .. })), "{:?}", driver.answers);
+    assert!(matches!(driver.answers[0], (OperationId(1), Answer::Refused { .. })), "{:?}", driver.answers);
 }
 
 #[test]
@@ -310,20 +312,20 @@
     #[test]
     fn every_operation_gets_one_answer_in_time(steps in proptest::collection::vec(step(), 1..120)) {
         let mut driver = Driver::new();
-        let (mut ticket, mut unanswered) = (0, std::collections::BTreeSet::new());
+        let (mut last_id, mut unanswered) = (0, std::collections::BTreeSet::new());
         for step in steps {
             match step {
                 Step::Submit(opcode, slba, blocks) => {
-                    ticket += 1;
-                    driver.submit(ticket, opcode, slba, if opcode == Opcode::Flush { 0 } else { blocks });
+                    last_id += 1;
+                    driver.submit(last_id, opcode, slba, if opcode == Opcode::Flush { 0 } else { blocks });
                 }
                 Step::End(index, outcome) if !driver.in_flight.is_empty() => {
                     let index = index.index(driver.in_flight.len());
                     driver.end(index, outcome);
                 }
-                Step::Withdraw(index) | Step::Abort(index) if ticket > 0 => {
-                    let t = Ticket(index.index(ticket as usize) as u64 + 1);
-                    let open = driver.core.open_views().iter().any(|v| v.ticket == t);
+                Step::Withdraw(index) | Step::Abort(index) if last_id > 0 => {
+                    let t = OperationId(index.index(last_id as usize) as u64 + 1);
+                    let open = driver.core.open_views().iter().any(|v| v.id == t);
                     let mut effects = Vec::new();
                     let removed = match step {
                         Step::Abort(_) => driver.core.abort(driver.now, t, &mut effects),
@@ -351,11 +353,11 @@
         prop_assert_eq!(driver.core.open_operations(), 0);
         prop_assert_eq!(driver.core.attempts_in_flight(), 0);
         prop_assert!(driver.in_flight.is_empty());
-        for t in (1..=ticket).map(Ticket) {
+        for t in (1..=last_id).map(OperationId) {
             let answers = driver.answers.iter().filter(|a| a.0 == t).count();
             prop_assert_eq!(answers, usize::from(!unanswered.contains(&t)), "{:?}", t);
         }
-        let tally = driver.core.tally();
+        let tally = driver.core.counts();
         let ends = tally.served + tally.refused + tally.failed + tally.aborted + tally.withdrawn;
         prop_assert_eq!(tally.accepted, ends);
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use decisions::*;
-use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, Ticket, Volume};
+use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, OperationId, Volume};
 
 pub fn settings() -> Settings {
     let class = |repeats, in_order| Class {
@@ -100,7 +100,7 @@
     core
 }
 
-pub fn operation(ticket: u64, opcode: Opcode, slba: u64, blocks: u32, data: Bytes) -> Operation {
+pub fn operation(id: u64, opcode: Opcode, slba: u64, blocks: u32, data: Bytes) -> Operation {
     let (retry, client) = (false, None);
-    Operation { ticket: Ticket(ticket), opcode, nsid: 1, slba, blocks, data, token: ticket, retry, client }
+    Operation { id: OperationId(id), opcode, nsid: 1, slba, blocks, data, token: id, retry, client }
 }
--- a/crates/core/tests/retry_tokens.rs
+++ b/crates/core/tests/retry_tokens.rs
@@ -10,8 +10,8 @@
 
 const ADVICE: Micros = 700_000;
 
-fn read(ticket: u64, slba: u64, retry: bool) -> Operation {
-    Operation { retry, ..operation(ticket, Opcode::Read, slba, 1, Bytes::new()) }
+fn read(id: u64, slba: u64, retry: bool) -> Operation {
+    Operation { retry, ..operation(id, Opcode::Read, slba, 1, Bytes::new()) }
 }
 
 /// Submits an operation; returns the attempts that are sent and the final answer, if there is one.
@@ -69,7 +69,7 @@
     core.set_retry_tokens(3000, ShardId(0), 1, ADVICE, &mut Vec::new());
     assert_eq!(submit(&mut core, read(4, 0, true)).0.len(), 1);
     assert_eq!(submit(&mut core, read(5, 0, true)).0.len(), 0);
-    assert_eq!((core.tally().accepted, core.tally().refused, core.open_operations()), (5, 3, 2));
+    assert_eq!((core.counts().accepted, core.counts().refused, core.open_operations()), (5, 3, 2));
 }
 
 #[test]
@@ -78,7 +78,7 @@
     submit(&mut core, read(1, 0, true));
     core.set_retry_tokens(1000, ShardId(0), 1, ADVICE, &mut Vec::new());
     submit(&mut core, read(2, 0, true));
-    assert!(core.take_wanted().is_empty(), "nothing was refused yet");
+    assert!(core.take_retry_demands().is_empty(), "nothing was refused yet");
     submit(&mut core, read(3, 0, true));
     let (first_attempts, _) = submit(&mut core, read(4, 0, false));
     core.attempt_ended(
@@ -87,20 +87,20 @@
         AttemptEnd::without_data(Outcome::Error),
         &mut Vec::new(),
     );
-    let wanted = |left| Wanted { shard: ShardId(0), worth: 1.0, left };
-    assert_eq!(core.take_wanted(), [wanted(1_000_000), wanted(700_000)]);
-    assert!(core.take_wanted().is_empty());
+    let demand = |remaining_time| RetryDemand { shard: ShardId(0), worth: 1.0, remaining_time };
+    assert_eq!(core.take_retry_demands(), [demand(1_000_000), demand(700_000)]);
+    assert!(core.take_retry_demands().is_empty());
     // A part with an attempt in flight at its deadline did not lack a token.
     core.tick(2_000_000, &mut Vec::new());
-    assert_eq!((core.open_operations(), core.take_wanted().len()), (0, 0));
+    assert_eq!((core.open_operations(), core.take_retry_demands().len()), (0, 0));
 }
 
 #[test]
 fn pending_retry_demand_is_bounded() {
     let mut core = core();
     core.set_retry_tokens(0, ShardId(0), 0, ADVICE, &mut Vec::new());
-    for ticket in 0..1000 {
-        submit(&mut core, read(ticket, 0, true));
+    for id in 0..1000 {
+        submit(&mut core, read(id, 0, true));
     }
-    assert_eq!(core.take_wanted().len(), 256);
+    assert_eq!(core.take_retry_demands().len(), 256);
 }
--- a/crates/core/tests/withdrawn.rs
+++ b/crates/core/tests/withdrawn.rs
@@ -12,14 +12,14 @@
 fn withdraw_returns_whether_an_attempt_was_sent() {
     let mut core = core();
     let mut effects = Vec::new();
-    let read = |ticket| operation(ticket, Opcode::Read, 0, 1, Bytes::new());
-    for ticket in 1..=20 {
-        core.submit(1000, read(ticket), &mut effects);
+    let read = |id| operation(id, Opcode::Read, 0, 1, Bytes::new());
+    for id in 1..=20 {
+        core.submit(1000, read(id), &mut effects);
     }
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Send(_))).count();
     assert!(0 < sent && sent < 20, "{sent} of 20 were sent; the others must wait for the node");
     let withdrawn: Vec<bool> =
-        (1..=20).map(|ticket| core.withdraw(2000, Ticket(ticket), &mut Vec::new())).collect();
+        (1..=20).map(|id| core.withdraw(2000, OperationId(id), &mut Vec::new())).collect();
     assert_eq!(withdrawn.iter().filter(|was_sent| **was_sent).count(), sent);
-    assert!(!core.withdraw(2000, Ticket(1), &mut effects), "the operation was already withdrawn");
+    assert!(!core.withdraw(2000, OperationId(1), &mut effects), "the operation was already withdrawn");
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -15,7 +15,7 @@
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests accepted.
     pub accepted: u64,
     /// Requests served.
@@ -73,7 +73,7 @@
     node_ids: HashMap<String, NodeId>,
     nodes: BTreeMap<NodeId, NodeView>,
     next_node: u32,
-    counts: Counts,
+    counts: RequestCounts,
     events: VecDeque<Event>,
     actions: VecDeque<Action>,
     commands: VecDeque<Command<P>>,
@@ -93,7 +93,7 @@
             node_ids: HashMap::new(),
             nodes: BTreeMap::new(),
             next_node: 0,
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
             events: VecDeque::new(),
             actions: VecDeque::new(),
             commands: VecDeque::new(),
@@ -373,7 +373,7 @@
     }
 
     /// Returns the counters since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,5 +16,5 @@
 
 pub use attempt::{AttemptId, Command, Verdict};
 pub use decisions::{Micros, NodeId, NodeLook, NodeState, Outcome, RequestId};
-pub use dispatcher::{Counts, Dispatcher};
+pub use dispatcher::{Dispatcher, RequestCounts};
 pub use node::{ListedNode, NodeView};
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -22,7 +22,7 @@
 use nvme::{Admission, IoCommand};
 use records::Clock;
 use recovery::InHand;
-use storage_core::{Core, Effect, Micros, Ticket};
+use storage_core::{Core, Effect, Micros, OperationId};
 
 use crate::connection::{Connection, ConnectionId};
 use crate::control_plane::ControlPlane;
@@ -51,7 +51,7 @@
     connection: Arc<Connection>,
     admission: Option<Admission>,
     host: Arc<str>,
-    tickets: HashMap<u16, Ticket>,
+    operation_ids: HashMap<u16, OperationId>,
 }
 
 /// A command that the core has accepted.
@@ -81,10 +81,10 @@
     front_end: Arc<FrontEnd>,
     inbox: Inbox,
     clients: HashMap<ConnectionId, Client>,
-    accepted: HashMap<Ticket, AcceptedCommand>,
+    accepted: HashMap<OperationId, AcceptedCommand>,
     /// Commands waiting for their host's turn; none of them has been submitted to the core.
     host_queues: Turns<Arc<str>, (ConnectionId, IoCommand)>,
-    next_ticket: u64,
+    next_operation_id: u64,
     node_connections: HashMap<NodeId, Arc<NodeConnection>>,
     effects: Vec<Effect>,
     /// The operators' orders in force: revision, volumes on hold, everything paused.
@@ -100,7 +100,7 @@
     recovery: Option<RecoveryDriver>,
     coordination: Option<Coordination>,
     /// Reads issued to settle writes that were in progress before the restart.
-    settling_reads: HashMap<Ticket, InHand>,
+    settling_reads: HashMap<OperationId, InHand>,
     /// Start times of nodes as listed.
     node_starts: HashMap<NodeId, Micros>,
     /// States of nodes as listed and ordered, regardless of drains by the control plane.
@@ -130,7 +130,7 @@
             clients: HashMap::new(),
             accepted: HashMap::new(),
             host_queues: Turns::new(HOST_QUANTUM_BLOCKS),
-            next_ticket: 0,
+            next_operation_id: 0,
             node_connections: HashMap::new(),
             effects: Vec::new(),
             revision: 0,
@@ -217,8 +217,8 @@
             Message::JournalSynced { sequences, error } => self.on_journal_synced(now, sequences, error),
             Message::PeerEvent(event) => self.on_peer_event(now, event),
             Message::Opened(connection) => {
-                let (tickets, host) = (HashMap::new(), Arc::from(""));
-                let client = Client { admission: None, tickets, host, connection: connection.clone() };
+                let (operation_ids, host) = (HashMap::new(), Arc::from(""));
+                let client = Client { admission: None, operation_ids, host, connection: connection.clone() };
                 self.clients.insert(connection.id, client);
             }
             Message::Bound(id, admission, host) => {
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use decisions::NodeId;
 use nvme::{Completion, Status as NvmeStatus, StatusCode};
-use storage_core::{Answer, AttemptEnd, AttemptId, Effect, Micros, Opcode, OutgoingAttempt, Ticket};
+use storage_core::{Answer, AttemptEnd, AttemptId, Effect, Micros, Opcode, OperationId, OutgoingAttempt};
 
 use super::Engine;
 use crate::completion::completion_of;
@@ -17,10 +17,12 @@
                 match effect {
                     Effect::Send(send) => self.send(now, send),
                     Effect::Abandon(attempt, node) => self.forget_attempt(now, attempt, node),
-                    Effect::Answer(ticket, answer) if self.settling_reads.contains_key(&ticket) => {
-                        self.finish_settling_read(now, ticket, &answer);
+                    Effect::Answer(operation_id, answer)
+                        if self.settling_reads.contains_key(&operation_id) =>
+                    {
+                        self.finish_settling_read(now, operation_id, &answer);
                     }
-                    Effect::Answer(ticket, answer) => self.answer_command(now, ticket, answer),
+                    Effect::Answer(operation_id, answer) => self.answer_command(now, operation_id, answer),
                     Effect::Subscribe => {}
                     Effect::Log(line) => tracing::info!("{line}"),
                 }
@@ -40,16 +42,16 @@
     }
 
     /// Passes the answer of a settling read to the recovery.
-    fn finish_settling_read(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
-        if let Some(write) = self.settling_reads.remove(&ticket) {
+    fn finish_settling_read(&mut self, now: Micros, operation_id: OperationId, answer: &Answer) {
+        if let Some(write) = self.settling_reads.remove(&operation_id) {
             let data = if let Answer::Served(data) = answer { Some(&data[..]) } else { None };
             self.with_recovery(now, |r, actions| r.on_read_back(now, &write, data, actions));
         }
     }
 
     /// Answers a client's command with the core's final answer.
-    fn answer_command(&mut self, now: Micros, ticket: Ticket, answer: Answer) {
-        let accepted = self.accepted.get(&ticket);
+    fn answer_command(&mut self, now: Micros, operation_id: OperationId, answer: Answer) {
+        let accepted = self.accepted.get(&operation_id);
         let identity = accepted.and_then(|t| t.identity).filter(|_| !matches!(answer, Answer::Served(_)));
         let expected = accepted.and_then(|t| t.expected.as_ref());
         let completion = match (&answer, expected) {
@@ -57,9 +59,9 @@
             _ => completion_of(answer, &self.options.target.retry_delays),
         };
         if let Some(identity) = identity {
-            self.report_unserved(now, identity, self.was_any_attempt_sent(ticket));
+            self.report_unserved(now, identity, self.was_any_attempt_sent(operation_id));
         }
-        self.complete_command(ticket, completion);
+        self.complete_command(operation_id, completion);
     }
 
     /// Sends an attempt; a write goes to the journal first, if one is kept.
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -2,7 +2,7 @@
 
 use nvme::{Completion, IoCommand, Status as NvmeStatus, StatusCode};
 use repeats::key_of_host;
-use storage_core::{Answer, ClientId, Micros, Operation, Ticket};
+use storage_core::{Answer, ClientId, Micros, Operation, OperationId};
 
 use super::{AcceptedCommand, Client, Engine};
 use crate::completion::completion_of;
@@ -54,20 +54,22 @@
             let come_back = self.options.catalogue.settings.most_advice;
             return self.refuse(id, command.cid, come_back);
         }
-        self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        self.next_operation_id += 1;
+        let operation_id = OperationId(self.next_operation_id);
         let Some(host) = self.clients.get(&id).map(|client| client.host.clone()) else { return };
         let identity = self.retry_identity(now, &host, &command);
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.tickets.insert(command.cid, ticket);
+        client.operation_ids.insert(command.cid, operation_id);
         let (cid, is_compare) = (command.cid, command.opcode == nvme::io::COMPARE);
         let opcode = opcode_of(&command);
         let IoCommand { nsid, slba, blocks, mut data, token, .. } = command;
         let expected = is_compare.then(|| std::mem::take(&mut data));
-        self.accepted.insert(ticket, AcceptedCommand { connection: id, cid, bytes, expected, identity });
+        self.accepted
+            .insert(operation_id, AcceptedCommand { connection: id, cid, bytes, expected, identity });
         let retry = identity.is_some_and(|identity| identity.is_retry);
         let client = (!host.is_empty()).then(|| ClientId(key_of_host(&host, 0)));
-        let operation = Operation { ticket, opcode, nsid, slba, blocks, data, token, retry, client };
+        let operation =
+            Operation { id: operation_id, opcode, nsid, slba, blocks, data, token, retry, client };
         self.core.submit(now, operation, &mut self.effects);
     }
 
@@ -77,18 +79,21 @@
         let cntlid = self.clients.get(&id).and_then(|c| c.admission).map(|a| a.cntlid);
         let is_target = |c: &Client| c.admission.is_some_and(|a| Some(a.cntlid) == cntlid && a.qid == sqid);
         let queue = self.clients.values().find(|c| is_target(c));
-        let ticket = queue.and_then(|c| c.tickets.get(&victim)).copied();
+        let operation_id = queue.and_then(|c| c.operation_ids.get(&victim)).copied();
         // A command still waiting for its host's turn has not been submitted to the core.
         if let Some((queue, host)) =
-            queue.filter(|_| ticket.is_none()).map(|c| (c.connection.id, c.host.clone()))
+            queue.filter(|_| operation_id.is_none()).map(|c| (c.connection.id, c.host.clone()))
             && self.host_queues.remove(&host, |(id, command)| (*id, command.cid) == (queue, victim)).is_some()
         {
             self.answer(queue, victim, Completion::of(NvmeStatus::passing(StatusCode::AbortRequested)));
             return self.answer(id, cid, Completion::of(NvmeStatus::SUCCESS));
         }
-        let aborted = ticket.is_some_and(|t| self.core.abort(now, t, &mut self.effects));
-        if let (true, Some(ticket)) = (aborted, ticket) {
-            self.complete_command(ticket, Completion::of(NvmeStatus::passing(StatusCode::AbortRequested)));
+        let aborted = operation_id.is_some_and(|id| self.core.abort(now, id, &mut self.effects));
+        if let (true, Some(operation_id)) = (aborted, operation_id) {
+            self.complete_command(
+                operation_id,
+                Completion::of(NvmeStatus::passing(StatusCode::AbortRequested)),
+            );
         }
         self.answer(id, cid, Completion { dw0: u32::from(!aborted), ..Completion::of(NvmeStatus::SUCCESS) });
     }
@@ -109,11 +114,11 @@
 
     pub(super) fn on_connection_closed(&mut self, now: Micros, id: ConnectionId) {
         let Some(client) = self.clients.remove(&id) else { return };
-        let mut tickets: Vec<Ticket> = client.tickets.into_values().collect();
-        tickets.sort();
-        for ticket in tickets {
-            let accepted = self.accepted.remove(&ticket);
-            let was_sent = self.core.withdraw(now, ticket, &mut self.effects);
+        let mut operation_ids: Vec<OperationId> = client.operation_ids.into_values().collect();
+        operation_ids.sort();
+        for operation_id in operation_ids {
+            let accepted = self.accepted.remove(&operation_id);
+            let was_sent = self.core.withdraw(now, operation_id, &mut self.effects);
             // The client may retry the command, here or at another gateway.
             if let Some(identity) = accepted.and_then(|t| t.identity) {
                 self.report_unserved(now, identity, was_sent);
@@ -126,13 +131,14 @@
         self.clients.values().filter(belongs).for_each(|c| c.connection.outlet.finish());
     }
 
-    pub(super) fn complete_command(&mut self, ticket: Ticket, completion: Completion) {
-        let Some(AcceptedCommand { connection: id, cid, bytes, .. }) = self.accepted.remove(&ticket) else {
+    pub(super) fn complete_command(&mut self, operation_id: OperationId, completion: Completion) {
+        let Some(AcceptedCommand { connection: id, cid, bytes, .. }) = self.accepted.remove(&operation_id)
+        else {
             return;
         };
         self.front_end.gate().done(id, bytes);
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.tickets.remove(&cid);
+        client.operation_ids.remove(&cid);
         self.answer(id, cid, completion);
     }
 }
--- a/crates/gateway/src/engine/control.rs
+++ b/crates/gateway/src/engine/control.rs
@@ -75,7 +75,7 @@
                 Ok(ControlAnswer::Done(now))
             }
             ControlRequest::Ended => {
-                let ended = self.core.ended_views().map(|e| self.ended_status(e)).collect();
+                let ended = self.core.unserved_views().map(|e| self.ended_status(e)).collect();
                 Ok(ControlAnswer::Ended(ended))
             }
             ControlRequest::Stop => {
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -10,7 +10,7 @@
 use fleet::{NodeSight, Standing};
 use nvme::IoCommand;
 use peer::Told;
-use storage_core::{AttemptEnd, AttemptId, Micros, OutgoingAttempt, Ticket};
+use storage_core::{AttemptEnd, AttemptId, Micros, OperationId, OutgoingAttempt};
 
 use super::Engine;
 use crate::retry_cap::{RetryCap, RetryIdentity};
@@ -84,8 +84,8 @@
         let Some(retry_cap) = self.coordination.as_mut().and_then(|c| c.retry_cap.as_mut()) else {
             return false;
         };
-        for wanted in self.core.take_wanted() {
-            retry_cap.tokens_wanted(now, wanted);
+        for demand in self.core.take_retry_demands() {
+            retry_cap.tokens_wanted(now, demand);
         }
         for shortage in self.core.take_shortages() {
             retry_cap.waiting_changed(now, shortage);
@@ -122,8 +122,8 @@
     }
 
     /// Whether any attempt of an unserved operation was sent; assumed when its record is no longer kept.
-    pub(super) fn was_any_attempt_sent(&self, ticket: Ticket) -> bool {
-        self.core.ended_views().rev().find(|e| e.ticket == ticket).is_none_or(|e| e.attempts > 0)
+    pub(super) fn was_any_attempt_sent(&self, id: OperationId) -> bool {
+        self.core.unserved_views().rev().find(|e| e.id == id).is_none_or(|e| e.attempts > 0)
     }
 
     /// An attempt is about to be sent.
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use decisions::{NodeId, NodeState};
 use recovery::{Place, Word};
-use storage_core::{ListedNode, Micros, Opcode, Operation, Ticket};
+use storage_core::{ListedNode, Micros, Opcode, Operation, OperationId};
 
 use super::Engine;
 use crate::node_connection::NodeConnection;
@@ -50,12 +50,12 @@
                 EngineAction::AdoptOrders(state) => self.adopt_orders(now, &state),
                 EngineAction::TreatNodesAsCold => self.restate_nodes(now, |_| None),
                 EngineAction::ReadBack(write) => {
-                    self.next_ticket += 1;
-                    let ticket = Ticket(self.next_ticket);
+                    self.next_operation_id += 1;
+                    let operation_id = OperationId(self.next_operation_id);
                     let Place { nsid, slba, blocks, .. } = write.place;
-                    self.settling_reads.insert(ticket, write);
+                    self.settling_reads.insert(operation_id, write);
                     let read = Operation {
-                        ticket,
+                        id: operation_id,
                         opcode: Opcode::Read,
                         nsid,
                         slba,
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeMap;
 
 use decisions::Cause;
-use storage_core::{EndedView, Micros, OpenView};
+use storage_core::{Micros, OpenOperationView, UnservedView};
 
 use super::Engine;
 use crate::recovery_driver::RecoveryDriver;
 use crate::status::{EndedStatus, NodeStatus, RequestStatus, Status, VolumeStatus};
 
 impl Engine {
-    pub(super) fn request_status(&self, now: Micros, view: OpenView) -> RequestStatus {
+    pub(super) fn request_status(&self, now: Micros, view: OpenOperationView) -> RequestStatus {
         let volume = self.options.catalogue.volume(view.nsid).map_or(String::new(), |v| v.name.clone());
         let nodes = self.core.node_views();
         RequestStatus {
-            id: view.ticket.0,
+            id: view.id.0,
             volume,
             op: view.opcode.word().to_owned(),
             class: self.options.catalogue.rules[view.class].name.clone(),
@@ -24,10 +24,10 @@
         }
     }
 
-    pub(super) fn ended_status(&self, operation: &EndedView) -> EndedStatus {
+    pub(super) fn ended_status(&self, operation: &UnservedView) -> EndedStatus {
         EndedStatus {
             at: operation.at,
-            id: operation.ticket.0,
+            id: operation.id.0,
             volume: self.options.catalogue.volume(operation.nsid).map_or(String::new(), |v| v.name.clone()),
             op: operation.opcode.word().to_owned(),
             class: self.options.catalogue.rules[operation.class].name.clone(),
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn status(&self, now: Micros) -> Status {
-        let tally = self.core.tally();
+        let tally = self.core.counts();
         let gate = self.front_end.gate();
         let ((connections, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
         let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -13,7 +13,7 @@
     Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState, key_of,
     key_of_host,
 };
-use storage_core::{AttemptId, Micros, OutgoingAttempt, Shortage, Wanted};
+use storage_core::{AttemptId, Micros, OutgoingAttempt, RetryDemand, Shortage};
 
 use crate::peer_network::PeerNetwork;
 
@@ -151,8 +151,8 @@
     }
 
     /// A part was refused for lack of retry tokens.
-    pub(crate) fn tokens_wanted(&mut self, now: Micros, wanted: Wanted) {
-        let Wanted { shard, worth, left } = wanted;
+    pub(crate) fn tokens_wanted(&mut self, now: Micros, demand: RetryDemand) {
+        let RetryDemand { shard, worth, remaining_time: left } = demand;
         self.handle(now, Input::Wanted { shard: shard.0, worth, left });
     }
 
