--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -38,7 +38,7 @@
             self.retry_demands.record_unserved(RetryDemand {
                 shard: piece.part.shard,
                 worth: settings.classes[open.class].worth * settings.plans[plan].price,
-                remaining_time: open.accepted_at + rules[open.class].patience - self.now,
+                remaining_time: open.accepted_at + rules[open.class].timeout - self.now,
             });
         }
         self.count_unserved(id, &answer);
--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -39,7 +39,7 @@
     /// Largest operation that the rule matches, in bytes; no limit if `None`.
     pub max_bytes: Option<u64>,
     /// Time that a client waits for an answer, in microseconds.
-    pub patience: Micros,
+    pub timeout: Micros,
 }
 
 /// The part of an operation that lies on one shard.
@@ -57,20 +57,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CatalogueError {
     /// No class accepts operations of every length.
-    #[error("no class without a size limit accepts '{}' operations; add one", .0.word())]
-    NoClass(Opcode),
+    #[error("no class without a size limit accepts '{}' operations; add one", .0.name())]
+    NoUnlimitedClass(Opcode),
     /// A volume refers to a plan that does not exist.
     #[error("volume '{0}' refers to a plan that does not exist")]
-    NoPlan(String),
+    UnknownPlan(String),
     /// A volume has no shards, no blocks or no extent length.
     #[error("volume '{0}' needs blocks, an extent length and at least one shard")]
     EmptyVolume(String),
     /// Two volumes have the same namespace identifier.
     #[error("two volumes have the namespace identifier {0}")]
-    SameNsid(u32),
+    DuplicateNsid(u32),
     /// The numbers of class rules and classes differ.
     #[error("{rules} class rules for {classes} classes")]
-    Uneven {
+    RuleCountMismatch {
         /// Number of class rules.
         rules: usize,
         /// Number of classes in the scheduler's settings.
@@ -102,17 +102,20 @@
         volumes: Vec<Volume>,
     ) -> Result<Self, CatalogueError> {
         if rules.len() != settings.classes.len() {
-            return Err(CatalogueError::Uneven { rules: rules.len(), classes: settings.classes.len() });
+            return Err(CatalogueError::RuleCountMismatch {
+                rules: rules.len(),
+                classes: settings.classes.len(),
+            });
         }
         for opcode in Opcode::ALL {
             if !rules.iter().any(|r| r.opcode == opcode && r.max_bytes.is_none()) {
-                return Err(CatalogueError::NoClass(opcode));
+                return Err(CatalogueError::NoUnlimitedClass(opcode));
             }
         }
         let mut by_nsid = BTreeMap::new();
         for volume in volumes {
             if volume.plan >= settings.plans.len() {
-                return Err(CatalogueError::NoPlan(volume.name));
+                return Err(CatalogueError::UnknownPlan(volume.name));
             }
             if volume.blocks == 0
                 || volume.extent_blocks == 0
@@ -123,7 +126,7 @@
             }
             let nsid = volume.nsid;
             if by_nsid.insert(nsid, volume).is_some() {
-                return Err(CatalogueError::SameNsid(nsid));
+                return Err(CatalogueError::DuplicateNsid(nsid));
             }
         }
         Ok(Catalogue { settings, rules, unit_bytes: unit_bytes.max(1), volumes: by_nsid })
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -142,7 +142,7 @@
 
     /// Splits an operation into its parts, each with its request.
     fn split(&self, volume: &Volume, operation: &Operation, class: usize) -> Vec<(Part, Request)> {
-        let patience = self.catalogue.rules[class].patience;
+        let patience = self.catalogue.rules[class].timeout;
         volume
             .parts(operation.slba, operation.blocks)
             .into_iter()
@@ -203,7 +203,7 @@
     }
 
     /// Answers every open operation at shutdown: refused if the client may safely retry it, failed otherwise.
-    pub fn end_all(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    pub fn answer_all_open(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         let mut ids: Vec<OperationId> = self.open.keys().copied().collect();
         ids.sort();
--- a/crates/core/src/operation.rs
+++ b/crates/core/src/operation.rs
@@ -23,7 +23,7 @@
     pub const ALL: [Opcode; 3] = [Opcode::Read, Opcode::Write, Opcode::Flush];
 
     /// Returns the name used in settings and records.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Opcode::Read => "read",
             Opcode::Write => "write",
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -162,7 +162,7 @@
     let mut effects = Vec::new();
     driver.core.update_nodes(driver.now, false, false, &[node("b", 1, NodeState::Draining)], &mut effects);
     driver.submit_without_token(2, 8, 2);
-    driver.core.end_all(driver.now, &mut effects);
+    driver.core.answer_all_open(driver.now, &mut effects);
     driver.carry_out(effects);
     assert_eq!(driver.answers[0], (OperationId(1), Answer::Failed));
     assert!(matches!(driver.answers[1], (OperationId(2), Answer::Refused { .. })), "{:?}", driver.answers);
@@ -266,17 +266,17 @@
         |rules: Vec<ClassRule>, volumes| Catalogue::new(settings(), rules, 1, volumes).err();
     assert_eq!(
         catalogue_error(rules[..3].to_vec(), vec![]),
-        Some(CatalogueError::Uneven { rules: 3, classes: 4 })
+        Some(CatalogueError::RuleCountMismatch { rules: 3, classes: 4 })
     );
     let mut limited = rules.clone();
     limited[0].max_bytes = Some(1);
-    assert_eq!(catalogue_error(limited, vec![]), Some(CatalogueError::NoClass(Opcode::Read)));
+    assert_eq!(catalogue_error(limited, vec![]), Some(CatalogueError::NoUnlimitedClass(Opcode::Read)));
     assert_eq!(
         catalogue_error(rules.clone(), vec![volume.clone(), volume.clone()]),
-        Some(CatalogueError::SameNsid(1))
+        Some(CatalogueError::DuplicateNsid(1))
     );
     let without_plan = Volume { plan: 5, ..volume };
-    assert_eq!(catalogue_error(rules, vec![without_plan]), Some(CatalogueError::NoPlan("vol1".into())));
+    assert_eq!(catalogue_error(rules, vec![without_plan]), Some(CatalogueError::UnknownPlan("vol1".into())));
 }
 
 #[derive(Clone, Debug)]
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -64,7 +64,7 @@
         name: name.into(),
         opcode,
         max_bytes,
-        patience: 1_000_000,
+        timeout: 1_000_000,
     };
     let rules = vec![
         rule("read", Opcode::Read, None),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -318,7 +318,7 @@
                 open = self.core.open_operations(),
                 "stop timeout reached; answering all open requests now"
             );
-            self.core.end_all(now, &mut self.effects);
+            self.core.answer_all_open(now, &mut self.effects);
             self.apply_effects(now);
         }
         let is_announcing =
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -16,7 +16,7 @@
         RequestStatus {
             id: view.id.0,
             volume,
-            op: view.opcode.word().to_owned(),
+            op: view.opcode.name().to_owned(),
             class: self.options.catalogue.rules[view.class].name.clone(),
             age: now - view.accepted_at,
             attempts: view.attempts,
@@ -29,7 +29,7 @@
             at: operation.at,
             id: operation.id.0,
             volume: self.options.catalogue.volume(operation.nsid).map_or(String::new(), |v| v.name.clone()),
-            op: operation.opcode.word().to_owned(),
+            op: operation.opcode.name().to_owned(),
             class: self.options.catalogue.rules[operation.class].name.clone(),
             refused: operation.refused,
             age: operation.age,
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -102,7 +102,7 @@
                 Op::Flush => Opcode::Flush,
             },
             max_bytes: c.most_kib.map(|kib| u64::from(kib) * 1024),
-            patience: micros(c.patience_ms),
+            timeout: micros(c.patience_ms),
         };
         let volume = |v: &Volume| storage_core::Volume {
             name: v.name.clone(),
