--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
-use crate::effect::{Effect, End, Send};
+use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
 use crate::operation::{Answer, Operation, Ticket};
 use crate::retry_demand::{RetryDemands, Wanted};
 use crate::views::{EndedView, Tally, VolumeView};
@@ -109,7 +109,7 @@
         }
         let mut pieces = Vec::with_capacity(parts.len());
         for (index, (part, request)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.take(self.now, request, (ticket, index));
+            let request = self.dispatcher.submit(self.now, request, (ticket, index));
             pieces.push(Piece {
                 request,
                 part,
@@ -137,7 +137,7 @@
                 last_outcome: None,
             },
         );
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Splits an operation into its parts, each with its request.
@@ -173,7 +173,7 @@
         let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
         self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
         was_sent
     }
 
@@ -187,7 +187,7 @@
         }
         self.tally.aborted += 1;
         self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
         true
     }
 
@@ -218,34 +218,40 @@
             self.remove_operation(ticket);
             effects.push(Effect::Answer(ticket, answer));
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
     /// and otherwise ignored.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        effects: &mut Vec<Effect>,
+    ) {
         self.advance(now);
         if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
-            && self.dispatcher.is_out(attempt)
+            && self.dispatcher.is_in_flight(attempt)
             && let Some(open) = self.open.get_mut(&ticket)
         {
             open.last_outcome = Some(end.outcome);
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
             open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
-        let served = self.dispatcher.ended(self.now, attempt, end.outcome, end.load);
+        let served = self.dispatcher.attempt_ended(self.now, attempt, end.outcome, end.load);
         if let Some((ticket, index)) = served
             && let Some(open) = self.open.get_mut(&ticket)
         {
             open.pieces[index].state = PieceState::Served(end.data);
             self.answer_if_complete(ticket, effects);
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn nodes(
+    pub fn update_nodes(
         &mut self,
         now: Micros,
         whole: bool,
@@ -254,22 +260,22 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.dispatcher.nodes(self.now, whole, remembered, listed);
-        self.carry_out_steps(effects);
+        self.dispatcher.update_nodes(self.now, whole, remembered, listed);
+        self.carry_out_commands(effects);
     }
 
     /// Notifies the scheduler that fetching the node list failed.
-    pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    pub fn node_list_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        self.dispatcher.nodes_failed(self.now);
-        self.carry_out_steps(effects);
+        self.dispatcher.node_list_failed(self.now);
+        self.carry_out_commands(effects);
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
     /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
-    /// its advice, at once or after waiting for a token ([`Core::limit_awaiting`]). A shard without an
+    /// its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without an
     /// allowance is unlimited.
-    pub fn allow(
+    pub fn set_retry_tokens(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -279,15 +285,15 @@
     ) {
         self.advance(now);
         self.retry_demands.set_tokens(shard, further);
-        self.dispatcher.allow(self.now, shard, further, come_back);
-        self.carry_out_steps(effects);
+        self.dispatcher.set_retry_tokens(self.now, shard, further, come_back);
+        self.carry_out_commands(effects);
     }
 
     /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
     /// is set.
-    pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
-        self.dispatcher.limit_awaiting(self.now, shard, most);
+        self.dispatcher.limit_token_waiters(self.now, shard, most);
     }
 
     /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
@@ -302,8 +308,8 @@
     }
 
     /// Removes the nodes that are gone and unused; returns them.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
-        self.dispatcher.forget_gone()
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
+        self.dispatcher.remove_gone_nodes()
     }
 
     /// Returns the number of a node. An unknown name is assigned the next number.
@@ -320,7 +326,7 @@
     pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         while self.dispatcher.tick(self.now) {
-            self.carry_out_steps(effects);
+            self.carry_out_commands(effects);
         }
     }
 
@@ -329,22 +335,24 @@
         self.now = self.now.max(now);
     }
 
-    /// Carries out the dispatcher's steps until there are none left.
-    fn carry_out_steps(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => self.send(attempt, node, effects),
-                Step::Forget(attempt, node, outcome) => {
+    /// Carries out the dispatcher's commands until there are none left.
+    fn carry_out_commands(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => self.send(attempt, node, effects),
+                Command::Abandon(attempt, node, outcome) => {
                     if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
                         && let Some(open) = self.open.get_mut(&ticket)
                     {
                         open.last_outcome = Some(outcome);
                     }
-                    effects.push(Effect::Forget(attempt, node));
+                    effects.push(Effect::Abandon(attempt, node));
+                }
+                Command::EndUnserved(_, (ticket, index), verdict) => {
+                    self.end_unserved(ticket, index, verdict, effects)
                 }
-                Step::Over(_, (ticket, index), verdict) => self.end_unserved(ticket, index, verdict, effects),
-                Step::Subscribe => effects.push(Effect::Subscribe),
-                Step::Log(line) => effects.push(Effect::Log(line)),
+                Command::Subscribe => effects.push(Effect::Subscribe),
+                Command::Log(line) => effects.push(Effect::Log(line)),
             }
         }
     }
@@ -367,7 +375,7 @@
         if further {
             self.retry_demands.use_token(part.shard);
         }
-        effects.push(Effect::Send(Send {
+        effects.push(Effect::Send(OutgoingAttempt {
             attempt,
             node,
             opcode: operation.opcode,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send an attempt and report its end once.
-    Send(Send),
+    Send(OutgoingAttempt),
     /// The attempt timed out or was cancelled. Its end need not be reported.
-    Forget(AttemptId, NodeId),
+    Abandon(AttemptId, NodeId),
     /// Deliver the final answer to an operation.
     Answer(Ticket, Answer),
     /// Subscribe to the node list for the scheduler.
@@ -23,7 +23,7 @@
 
 /// An attempt to be sent to a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct OutgoingAttempt {
     /// Identifies the attempt.
     pub attempt: AttemptId,
     /// The node to send it to.
@@ -43,7 +43,7 @@
     /// Shard that holds the blocks.
     pub shard: ShardId,
     /// The attempt uses a retry token: it is not the first of its part, or the operation is marked as a
-    /// client's retry. See [`Core::allow`](crate::Core::allow).
+    /// client's retry. See [`Core::set_retry_tokens`](crate::Core::set_retry_tokens).
     pub further: bool,
     /// Idempotency token of the operation.
     pub token: u64,
@@ -53,7 +53,7 @@
 
 /// The end of an attempt, as reported by the connection to its node.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// Outcome of the attempt. One that says that the attempt never ran may be reported only where that is
     /// certain.
     pub outcome: Outcome,
@@ -63,9 +63,9 @@
     pub load: Option<u32>,
 }
 
-impl End {
+impl AttemptEnd {
     /// Creates an end without data and without a load report.
-    pub fn of(outcome: Outcome) -> Self {
-        End { outcome, data: Bytes::new(), load: None }
+    pub fn without_data(outcome: Outcome) -> Self {
+        AttemptEnd { outcome, data: Bytes::new(), load: None }
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -12,7 +12,7 @@
 struct Driver {
     core: Core,
     now: Micros,
-    in_flight: Vec<Send>,
+    in_flight: Vec<OutgoingAttempt>,
     answers: Vec<(Ticket, Answer)>,
 }
 
@@ -36,7 +36,7 @@
                     assert!(!self.answers.iter().any(|a| a.0 == ticket), "{ticket:?} got two final answers");
                     self.answers.push((ticket, answer));
                 }
-                Effect::Forget(attempt, _) => self.in_flight.retain(|s| s.attempt != attempt),
+                Effect::Abandon(attempt, _) => self.in_flight.retain(|s| s.attempt != attempt),
                 _ => {}
             }
         }
@@ -72,7 +72,12 @@
             _ => Bytes::new(),
         };
         let mut effects = Vec::new();
-        self.core.ended(self.now, send.attempt, End { outcome, data, load: None }, &mut effects);
+        self.core.attempt_ended(
+            self.now,
+            send.attempt,
+            AttemptEnd { outcome, data, load: None },
+            &mut effects,
+        );
         self.carry_out(effects);
     }
 
@@ -153,7 +158,7 @@
     let mut driver = Driver::with_deduplicated_bulk_writes();
     driver.submit_without_token(1, 0, 2);
     let mut effects = Vec::new();
-    driver.core.nodes(driver.now, false, false, &[node("b", 1, NodeState::Draining)], &mut effects);
+    driver.core.update_nodes(driver.now, false, false, &[node("b", 1, NodeState::Draining)], &mut effects);
     driver.submit_without_token(2, 8, 2);
     driver.core.end_all(driver.now, &mut effects);
     driver.carry_out(effects);
@@ -189,7 +194,7 @@
     driver.advance_to(1_001_000);
     assert_eq!(driver.answers, [(Ticket(1), Answer::Failed)]);
     let mut effects = Vec::new();
-    driver.core.ended(1_500_000, unanswered, End::of(Outcome::Served), &mut effects);
+    driver.core.attempt_ended(1_500_000, unanswered, AttemptEnd::without_data(Outcome::Served), &mut effects);
     driver.carry_out(effects);
     assert_eq!((driver.answers.len(), driver.core.tally().late), (1, 1));
 }
@@ -242,7 +247,7 @@
 fn draining_node_gets_no_new_attempts() {
     let mut driver = Driver::new();
     let mut effects = Vec::new();
-    driver.core.nodes(driver.now, false, false, &[node("a", 0, NodeState::Draining)], &mut effects);
+    driver.core.update_nodes(driver.now, false, false, &[node("a", 0, NodeState::Draining)], &mut effects);
     driver.carry_out(effects);
     driver.submit(1, Opcode::Read, 0, 1);
     driver.submit(2, Opcode::Read, 8, 1);
@@ -335,7 +340,7 @@
                 Step::SetDraining(draining) => {
                     let state = if draining { NodeState::Draining } else { NodeState::On };
                     let mut effects = Vec::new();
-                    driver.core.nodes(driver.now, false, false, &[node("b", 1, state)], &mut effects);
+                    driver.core.update_nodes(driver.now, false, false, &[node("b", 1, state)], &mut effects);
                     driver.carry_out(effects);
                 }
                 Step::Wait(duration) => driver.advance_to(driver.now + duration),
@@ -344,7 +349,7 @@
         }
         driver.advance_to(driver.now + 1_000_000);
         prop_assert_eq!(driver.core.open_operations(), 0);
-        prop_assert_eq!(driver.core.attempts_out(), 0);
+        prop_assert_eq!(driver.core.attempts_in_flight(), 0);
         prop_assert!(driver.in_flight.is_empty());
         for t in (1..=ticket).map(Ticket) {
             let answers = driver.answers.iter().filter(|a| a.0 == t).count();
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -265,7 +265,7 @@
             tracing::info!(cntlid, "a host was silent for its keep alive time-out");
             self.end_association(cntlid);
         }
-        for node in self.core.forget_gone() {
+        for node in self.core.remove_gone_nodes() {
             self.ordered_states.remove(&node);
             if let Some(connection) = self.node_connections.remove(&node) {
                 connection.close();
@@ -289,7 +289,8 @@
         let views = self.core.node_views();
         self.node_connections.retain(|id, connection| {
             connection.check_timeouts();
-            let is_over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.out == 0);
+            let is_over =
+                views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.in_flight == 0);
             if is_over {
                 connection.close();
             }
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -42,14 +42,14 @@
     fn unserved_causes(&self) -> BTreeMap<String, u64> {
         let rules = &self.options.catalogue.rules;
         let label = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
-        self.core.causes().iter().map(|(key, count)| (label(key), *count)).collect()
+        self.core.unserved_by_cause().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
     /// The state of every node.
     fn node_statuses(&self) -> Vec<NodeStatus> {
         let nodes = self.core.node_views().iter().map(|(id, n)| {
             let connection = self.node_connections.get(id);
-            let state = self.core.look(*id);
+            let state = self.core.node_snapshot(*id);
             NodeStatus {
                 bound: state.map_or(0.0, |l| l.bound),
                 l: state.map_or(0.0, |l| l.load),
@@ -63,12 +63,12 @@
                 state: n.state.into(),
                 started: n.started.unwrap_or(0),
                 link: connection.map_or("none", |c| c.phase()).to_owned(),
-                out: n.out,
+                out: n.in_flight,
                 sent: n.sent,
                 served: n.served,
                 unserved: n.unserved,
                 load: n.load,
-                heard: n.heard.unwrap_or(0),
+                heard: n.last_heard.unwrap_or(0),
                 latency: n.latency,
             }
         });
@@ -124,7 +124,7 @@
             waiting_turn: self.host_queues.len(),
             turned_away,
             open: self.core.open_operations(),
-            out: self.core.attempts_out(),
+            out: self.core.attempts_in_flight(),
             taken: tally.taken,
             served: tally.served,
             refused: tally.refused,
