--- a/crates/crowbay/src/platform.rs
+++ b/crates/crowbay/src/platform.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use platform::{Config, Gateway, Orders};
+use platform::{Command, Config, Gateway};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
@@ -29,13 +29,13 @@
         for signal in signals.forever() {
             match signal {
                 SIGHUP => match Config::load(&path) {
-                    Ok(config) => signalled_gateway.tell(Orders::Discovery(config.discovery)),
+                    Ok(config) => signalled_gateway.send(Command::SetDiscovery(config.discovery)),
                     // A partly written file must not stop a gateway that is serving.
                     Err(error) => {
                         tracing::error!(%error, "invalid configuration; the current one stays in effect")
                     }
                 },
-                _ => signalled_gateway.tell(Orders::Leave),
+                _ => signalled_gateway.send(Command::ShutDown),
             }
         }
     });
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -42,11 +42,11 @@
 
 /// A command to a running gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Orders {
+pub enum Command {
     /// Use discovery at this address from now on.
-    Discovery(SocketAddr),
+    SetDiscovery(SocketAddr),
     /// Answer all admitted requests, then exit.
-    Leave,
+    ShutDown,
 }
 
 /// A message to the engine. The inbox is bounded: each connection has at most one chunk of input in it.
@@ -72,7 +72,7 @@
         end: End,
     },
     Tick,
-    Command(Orders),
+    Command(Command),
 }
 
 /// A running gateway.
@@ -132,9 +132,9 @@
     }
 
     /// Sends a command to the gateway.
-    pub fn tell(&self, orders: Orders) {
+    pub fn send(&self, command: Command) {
         let inbox = self.inbox.lock().unwrap_or_else(|p| p.into_inner());
-        let _ = inbox.send(Message::Command(orders)); // The gateway may have exited.
+        let _ = inbox.send(Message::Command(command)); // The gateway may have exited.
     }
 
     /// Waits until the gateway has exited.
@@ -243,8 +243,8 @@
             }
             Message::Ended { socket, .. } => return self.descriptor_released(socket),
             Message::Up { .. } | Message::Bytes { .. } => return,
-            Message::Command(Orders::Discovery(address)) => self.machine.reconfigured(now, address),
-            Message::Command(Orders::Leave) => self.machine.leave(now),
+            Message::Command(Command::SetDiscovery(address)) => self.machine.reconfigured(now, address),
+            Message::Command(Command::ShutDown) => self.machine.leave(now),
         }
         self.perform_outputs(now);
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -34,7 +34,7 @@
 pub use admission::{AdmittedRequest, Rejection, admit};
 pub use config::{Config, ConfigError, MachineLimits};
 pub use endpoint::{Endpoint, EndpointList, Zones};
-pub use gateway::{Gateway, GatewayError, Orders};
+pub use gateway::{Command, Gateway, GatewayError};
 pub use json_stream::{ObjectSplitter, SplitError};
 pub use machine::Machine;
 pub use outcome::{load_of, outcome_of};
