--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -325,19 +325,19 @@
                 self.start_reader(now, socket, connection, true);
             }
             Output::Write(socket, bytes) => self.queue_output(socket, &bytes),
-            Output::Reuse(socket, bytes) => {
+            Output::WriteIfIdle(socket, bytes) => {
                 if self.connections.get(&socket).is_some_and(|connection| connection.has_no_input()) {
                     return self.queue_output(socket, &bytes);
                 }
                 self.close(socket);
                 self.machine.stale(now, socket);
             }
-            Output::Finish(socket) => {
+            Output::ShutdownWrite(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
                     connection.outlet.end_writing();
                 }
             }
-            Output::Part(socket) => {
+            Output::ShutdownWriteIfNoInput(socket) => {
                 let without_input = self.connections.get(&socket).filter(|c| c.has_no_input());
                 if let Some(connection) = without_input {
                     connection.outlet.end_writing();
@@ -345,14 +345,14 @@
                 let done = without_input.is_some();
                 self.machine.parted(now, socket, done);
             }
-            Output::GiveWay(socket) => {
+            Output::CloseIfIdle(socket) => {
                 let done = self.connections.get(&socket).is_none_or(|c| c.is_idle());
                 if done {
                     self.close(socket);
                 }
                 self.machine.gave_way(now, socket, done);
             }
-            Output::Cut(socket) => {
+            Output::CloseIfUnsent(socket) => {
                 if let Some(connection) =
                     self.connections.get(&socket).filter(|c| c.outlet.is_pending()).cloned()
                 {
@@ -364,7 +364,7 @@
                 }
             }
             Output::Close(socket) => self.close(socket),
-            Output::Resume(socket) => {
+            Output::ResumeReading(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
                     connection.resume();
                 }
@@ -374,7 +374,7 @@
                     self.acceptor.issue_permit();
                 }
             }
-            Output::Unlisten => self.acceptor.close(),
+            Output::StopListening => self.acceptor.close(),
         }
     }
 }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Handles bytes read from a connection at `at`; more is read after [`Output::Resume`].
+    /// Handles bytes read from a connection at `at`; more is read after [`Output::ResumeReading`].
     pub fn received(&mut self, now: Micros, socket: SocketId, at: Micros, bytes: &[u8]) {
         match socket {
             SocketId::Client(id) => return self.client_received(now, id, at, bytes),
@@ -299,7 +299,7 @@
                 self.run_discovery_steps(now, steps);
             }
         }
-        self.outputs.push(Output::Resume(socket));
+        self.outputs.push(Output::ResumeReading(socket));
     }
 
     /// Handles a connection that ended or could not be established.
@@ -356,7 +356,7 @@
             && now >= since + ACCEPT_AFTER_SIGTERM
         {
             self.stop_listening_sent = true;
-            self.outputs.push(Output::Unlisten);
+            self.outputs.push(Output::StopListening);
         }
         self.make_room(now);
     }
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -57,7 +57,7 @@
                 // A connection that its node closed right after establishing it would be reopened again and
                 // again if it were treated as a stale idle one. Its end is reported instead.
                 Some(bytes) if fresh => self.outputs.push(Output::Write(SocketId::Node(connection), bytes)),
-                Some(bytes) => self.outputs.push(Output::Reuse(SocketId::Node(connection), bytes)),
+                Some(bytes) => self.outputs.push(Output::WriteIfIdle(SocketId::Node(connection), bytes)),
                 None => {
                     invalid.push(attempt);
                     next = self.connections.start_declined(now, connection);
@@ -180,7 +180,7 @@
                 }
                 self.dispatcher.ended(now, attempt, Outcome::Cancelled, None);
             } else if let Some(connection) = self.connections.connection_of(attempt) {
-                self.outputs.push(Output::Cut(SocketId::Node(connection)));
+                self.outputs.push(Output::CloseIfUnsent(SocketId::Node(connection)));
             }
         }
         self.run_dispatcher_steps(now);
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -11,7 +11,7 @@
                 return self.close_client(now, id);
             }
             lingering.bytes_left -= bytes.len();
-            return self.outputs.push(Output::Resume(SocketId::Client(id)));
+            return self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
         }
         if client.open_request.is_some()
             && (client.discarded_bytes > 0 || client.decoder.held() + bytes.len() > MAX_PIPELINED_BYTES)
@@ -30,7 +30,7 @@
         client.decoder.receive(bytes);
         client.arrivals.record(bytes.len(), at);
         // Reading resumes first, so that these bytes no longer count as unprocessed input.
-        self.outputs.push(Output::Resume(SocketId::Client(id)));
+        self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
         self.handle_buffered_requests(now, id);
     }
 
@@ -50,7 +50,7 @@
             let message = Bytes::from_static(b"too much was sent behind an open request\n");
             self.write_response(now, id, 400, &[], message, false);
         }
-        self.outputs.push(Output::Resume(SocketId::Client(id)));
+        self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
     }
 
     /// Handles the requests in a client's buffer, one at a time.
@@ -129,7 +129,7 @@
             if now >= lingering.close_at {
                 return self.close_client(now, id);
             }
-            return self.outputs.push(Output::GiveWay(SocketId::Client(id)));
+            return self.outputs.push(Output::CloseIfIdle(SocketId::Client(id)));
         }
         // Connections without a complete request would hold a descriptor for ever, and where slots are short
         // keep out other clients with the same claim. The cost is that a client which takes longer than its
@@ -151,11 +151,11 @@
     pub(super) fn close_if_quiet(&mut self, now: Micros, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         self.client_timers.set(client, id, now + LINGER);
-        self.outputs.push(Output::Part(SocketId::Client(id)));
+        self.outputs.push(Output::ShutdownWriteIfNoInput(SocketId::Client(id)));
     }
 
-    /// Reports the result of [`Output::Part`]; `done` is false if the connection has unread input, which will
-    /// be delivered.
+    /// Reports the result of [`Output::ShutdownWriteIfNoInput`]; `done` is false if the connection has unread
+    /// input, which will be delivered.
     ///
     /// If the connection were closed with a request unread, that request would be lost, or forwarded after
     /// the connection was closed. It is answered instead, and the connection's timer runs again.
@@ -170,7 +170,7 @@
         client.lingering = Some(Lingering { bytes_left: LINGER_BYTES, close_at: now + KEEP_ALIVE });
     }
 
-    /// Reports the result of [`Output::GiveWay`]; `done` is false if input is unread or output is pending.
+    /// Reports the result of [`Output::CloseIfIdle`]; `done` is false if input is unread or output is pending.
     ///
     /// Closing a connection with unread bytes resets it, and the response before it may be lost together with
     /// what the system still holds; a request that has just arrived may be lost the same way. The cost is
@@ -239,7 +239,7 @@
                 self.queue_blocked_since.get_or_insert(now);
                 return;
             };
-            return self.outputs.push(Output::GiveWay(SocketId::Client(id)));
+            return self.outputs.push(Output::CloseIfIdle(SocketId::Client(id)));
         }
         (self.accept_wanted, self.permit_issued_at) = (false, now);
         self.outputs.push(Output::Accept);
@@ -302,7 +302,7 @@
         } else {
             Self::start_lingering(now, client);
             self.client_timers.set(client, id, now + LINGER);
-            self.outputs.push(Output::Finish(socket));
+            self.outputs.push(Output::ShutdownWrite(socket));
         }
     }
 }
--- a/crates/platform/src/socket.rs
+++ b/crates/platform/src/socket.rs
@@ -36,23 +36,23 @@
     Write(SocketId, Bytes),
     /// Write on an idle connection, if no data and no end has arrived on it meanwhile; otherwise close it,
     /// write nothing and report that by [`crate::Machine::stale`].
-    Reuse(SocketId, Bytes),
+    WriteIfIdle(SocketId, Bytes),
     /// Shut down the writing side once all output is written.
-    Finish(SocketId),
+    ShutdownWrite(SocketId),
     /// Shut down the writing side unless input is unread. The result is reported by
     /// [`crate::Machine::parted`].
-    Part(SocketId),
+    ShutdownWriteIfNoInput(SocketId),
     /// Close unless input is unread or output is pending. The result is reported by
     /// [`crate::Machine::gave_way`].
-    GiveWay(SocketId),
+    CloseIfIdle(SocketId),
     /// Close if output is pending, and report the connection's end.
-    Cut(SocketId),
+    CloseIfUnsent(SocketId),
     /// Close at once, without reporting the connection's end.
     Close(SocketId),
     /// Resume reading.
-    Resume(SocketId),
+    ResumeReading(SocketId),
     /// Accept one more connection.
     Accept,
     /// Accept the connections already queued, then stop listening.
-    Unlisten,
+    StopListening,
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -107,7 +107,7 @@
     pub unread: BTreeSet<SocketId>,
     pub blocked_output: BTreeSet<SocketId>,
     reports: Vec<Report>,
-    /// Number of [`Output::Resume`] operations.
+    /// Number of [`Output::ResumeReading`] operations.
     pub resume_count: usize,
     pub accept_permits: usize,
     pub stopped_listening: bool,
@@ -202,7 +202,7 @@
                     assert!(!self.closed.contains(&socket), "written after it was closed: {socket:?}");
                     self.written.entry(socket).or_default().extend_from_slice(&bytes);
                 }
-                Output::Reuse(socket, bytes) => {
+                Output::WriteIfIdle(socket, bytes) => {
                     assert!(!self.closed.contains(&socket), "used again after it was closed: {socket:?}");
                     if self.closed_by_node.remove(&socket) {
                         self.closed.insert(socket);
@@ -211,24 +211,24 @@
                         self.written.entry(socket).or_default().extend_from_slice(&bytes);
                     }
                 }
-                Output::Finish(socket) => {
+                Output::ShutdownWrite(socket) => {
                     self.finished.insert(socket);
                 }
-                Output::Part(socket) => {
+                Output::ShutdownWriteIfNoInput(socket) => {
                     let done = !self.unread.contains(&socket);
                     if done {
                         self.finished.insert(socket);
                     }
                     self.reports.push(Report::Parted(socket, done));
                 }
-                Output::GiveWay(socket) => {
+                Output::CloseIfIdle(socket) => {
                     let done = !self.unread.contains(&socket) && !self.blocked_output.contains(&socket);
                     if done {
                         self.closed.insert(socket);
                     }
                     self.reports.push(Report::GaveWay(socket, done));
                 }
-                Output::Cut(socket) => {
+                Output::CloseIfUnsent(socket) => {
                     if self.blocked_output.remove(&socket) {
                         self.closed.insert(socket);
                         self.reports.push(Report::Cut(socket));
@@ -238,9 +238,9 @@
                     self.closed.insert(socket);
                     self.connecting.retain(|(connecting, _)| *connecting != socket);
                 }
-                Output::Resume(_) => self.resume_count += 1,
+                Output::ResumeReading(_) => self.resume_count += 1,
                 Output::Accept => self.accept_permits += 1,
-                Output::Unlisten => self.stopped_listening = true,
+                Output::StopListening => self.stopped_listening = true,
             }
         }
     }
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -250,7 +250,7 @@
             }
             Output::Connect(socket, _) => self.call(g, socket),
             Output::Write(socket, bytes) => self.write(g, socket, bytes),
-            Output::Reuse(socket, bytes) => {
+            Output::WriteIfIdle(socket, bytes) => {
                 if self.gateways[g].sockets.contains_key(&socket) {
                     self.write(g, socket, bytes);
                 } else if let Some(machine) = &mut self.gateways[g].machine {
@@ -258,22 +258,22 @@
                 }
             }
             // In the world nothing stands unread, and what is written has gone out.
-            Output::Part(socket) => {
-                self.output(g, Output::Finish(socket));
+            Output::ShutdownWriteIfNoInput(socket) => {
+                self.output(g, Output::ShutdownWrite(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
                     machine.parted(now, socket, true);
                 }
             }
-            Output::GiveWay(socket) => {
+            Output::CloseIfIdle(socket) => {
                 self.output(g, Output::Close(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
                     machine.gave_way(now, socket, true);
                 }
             }
-            Output::Cut(_) => {}
-            Output::Finish(_) if self.ends_late(g) => {}
+            Output::CloseIfUnsent(_) => {}
+            Output::ShutdownWrite(_) if self.ends_late(g) => {}
             Output::Close(SocketId::Client(_)) if self.ends_late(g) => {}
-            Output::Finish(socket) => {
+            Output::ShutdownWrite(socket) => {
                 if let Some(&conn) = self.gateways[g].sockets.get(&socket) {
                     self.line.plan(NEAR, Event::EndAtClient(conn));
                 }
@@ -290,9 +290,9 @@
                     self.drop_conn(conn);
                 }
             }
-            Output::Resume(_) => {}
+            Output::ResumeReading(_) => {}
             Output::Accept => self.gateways[g].leaves += 1,
-            Output::Unlisten => {
+            Output::StopListening => {
                 self.gateways[g].listening = false;
                 while let Some(conn) = self.gateways[g].waiting.pop_front() {
                     self.accept(g, now, conn);
