--- a/crates/capacity/src/parts/lists.rs
+++ b/crates/capacity/src/parts/lists.rs
@@ -41,7 +41,7 @@
         let Some(watch) = watch else {
             return Err(MeasureError::Failed("a machine that starts opens no watch".into()));
         };
-        machine.up(now, watch);
+        machine.connection_established(now, watch);
         let mut stage = Stage { machine, now, watch, revision: 1 };
         stage.bytes(HEAD);
         stage.bytes(ALIVE);
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -231,15 +231,17 @@
         match message {
             Message::Tick => return,
             Message::Accepted(stream) => self.accepted(now, stream),
-            Message::NotAccepted => self.machine.not_accepted(),
-            Message::Shut => self.machine.shut(),
-            Message::Up { socket, serial } if self.is_current(socket, serial) => self.machine.up(now, socket),
+            Message::NotAccepted => self.machine.accept_failed(),
+            Message::Shut => self.machine.listener_closed(),
+            Message::Up { socket, serial } if self.is_current(socket, serial) => {
+                self.machine.connection_established(now, socket)
+            }
             Message::Bytes { socket, serial, at, bytes } if self.is_current(socket, serial) => {
                 self.machine.received(now, socket, at, &bytes);
             }
             Message::Ended { socket, serial, end } if self.is_current(socket, serial) => {
                 self.connections.remove(&socket);
-                self.machine.ended(now, socket, end);
+                self.machine.connection_ended(now, socket, end);
             }
             Message::Ended { socket, .. } => return self.descriptor_released(socket),
             Message::Up { .. } | Message::Bytes { .. } => return,
@@ -294,12 +296,12 @@
             Ok((connection, connecting)) => {
                 self.connections.insert(socket, connection);
                 if is_outgoing && !connecting {
-                    self.machine.up(now, socket);
+                    self.machine.connection_established(now, socket);
                 }
             }
             Err(error) => {
                 tracing::debug!(?socket, %error, "cannot open the connection");
-                self.machine.ended(now, socket, End::Cut);
+                self.machine.connection_ended(now, socket, End::Cut);
             }
         }
     }
@@ -330,7 +332,7 @@
                     return self.queue_output(socket, &bytes);
                 }
                 self.close(socket);
-                self.machine.stale(now, socket);
+                self.machine.idle_write_rejected(now, socket);
             }
             Output::ShutdownWrite(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
@@ -343,14 +345,14 @@
                     connection.outlet.end_writing();
                 }
                 let done = without_input.is_some();
-                self.machine.parted(now, socket, done);
+                self.machine.shutdown_write_result(now, socket, done);
             }
             Output::CloseIfIdle(socket) => {
                 let done = self.connections.get(&socket).is_none_or(|c| c.is_idle());
                 if done {
                     self.close(socket);
                 }
-                self.machine.gave_way(now, socket, done);
+                self.machine.close_result(now, socket, done);
             }
             Output::CloseIfUnsent(socket) => {
                 if let Some(connection) =
@@ -360,7 +362,7 @@
                     // Reported as unsent only if the write certainly didn't complete; otherwise the rest may
                     // have gone out in this moment.
                     let end = if connection.outlet.was_cut() { End::Cut } else { End::Broken };
-                    self.machine.ended(now, socket, end);
+                    self.machine.connection_ended(now, socket, end);
                 }
             }
             Output::Close(socket) => self.close(socket),
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -246,18 +246,18 @@
     ///
     /// Without a free descriptor, a permit issued at once would fail at once again and the gateway would do
     /// nothing else. The cost is that the next client waits for up to [`SWEEP_INTERVAL`].
-    pub fn not_accepted(&mut self) {
+    pub fn accept_failed(&mut self) {
         (self.accept_wanted, self.out_of_descriptors) = (true, true);
     }
 
     /// Notes that the listener's queue has been accepted and the listener is closed. Exiting before that
     /// would lose connections which the system has already accepted.
-    pub fn shut(&mut self) {
+    pub fn listener_closed(&mut self) {
         self.listener_closed = true;
     }
 
     /// Handles a connection that has been established.
-    pub fn up(&mut self, now: Micros, socket: SocketId) {
+    pub fn connection_established(&mut self, now: Micros, socket: SocketId) {
         match socket {
             SocketId::Client(_) => {}
             SocketId::Node(id) => {
@@ -278,7 +278,7 @@
     /// A node may close a connection, or send more than its response, right after responding; a request
     /// written then is lost with the connection and may still have run. The attempt was never sent, so it
     /// takes another connection.
-    pub fn stale(&mut self, now: Micros, socket: SocketId) {
+    pub fn idle_write_rejected(&mut self, now: Micros, socket: SocketId) {
         let SocketId::Node(id) = socket else { return };
         if let Some((attempt, node)) = self.connections.take_unusable(id) {
             self.send_attempt(now, attempt, node);
@@ -303,7 +303,7 @@
     }
 
     /// Handles a connection that ended or could not be established.
-    pub fn ended(&mut self, now: Micros, socket: SocketId, end: End) {
+    pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: End) {
         self.out_of_descriptors = false;
         match socket {
             SocketId::Client(id) => self.client_ended(now, id, end),
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -159,7 +159,7 @@
     ///
     /// If the connection were closed with a request unread, that request would be lost, or forwarded after
     /// the connection was closed. It is answered instead, and the connection's timer runs again.
-    pub fn parted(&mut self, now: Micros, socket: SocketId, done: bool) {
+    pub fn shutdown_write_result(&mut self, now: Micros, socket: SocketId, done: bool) {
         let SocketId::Client(id) = socket else { return };
         if done && let Some(client) = self.clients.get_mut(&id) {
             Self::start_lingering(now, client);
@@ -176,7 +176,7 @@
     /// what the system still holds; a request that has just arrived may be lost the same way. The cost is
     /// that others wait for a slot until the input is handled, and that a client which doesn't read its
     /// response keeps its slot for [`KEEP_ALIVE`].
-    pub fn gave_way(&mut self, now: Micros, socket: SocketId, done: bool) {
+    pub fn close_result(&mut self, now: Micros, socket: SocketId, done: bool) {
         let SocketId::Client(id) = socket else { return };
         if done {
             return self.forget_client(now, id);
--- a/crates/platform/src/socket.rs
+++ b/crates/platform/src/socket.rs
@@ -35,15 +35,15 @@
     /// Write bytes, immediately as far as the socket accepts them.
     Write(SocketId, Bytes),
     /// Write on an idle connection, if no data and no end has arrived on it meanwhile; otherwise close it,
-    /// write nothing and report that by [`crate::Machine::stale`].
+    /// write nothing and report that by [`crate::Machine::idle_write_rejected`].
     WriteIfIdle(SocketId, Bytes),
     /// Shut down the writing side once all output is written.
     ShutdownWrite(SocketId),
     /// Shut down the writing side unless input is unread. The result is reported by
-    /// [`crate::Machine::parted`].
+    /// [`crate::Machine::shutdown_write_result`].
     ShutdownWriteIfNoInput(SocketId),
     /// Close unless input is unread or output is pending. The result is reported by
-    /// [`crate::Machine::gave_way`].
+    /// [`crate::Machine::close_result`].
     CloseIfIdle(SocketId),
     /// Close if output is pending, and report the connection's end.
     CloseIfUnsent(SocketId),
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -181,10 +181,12 @@
             self.perform(std::mem::take(&mut outputs));
             for report in std::mem::take(&mut self.reports) {
                 match report {
-                    Report::Stale(socket) => self.machine.stale(self.now, socket),
-                    Report::Parted(socket, done) => self.machine.parted(self.now, socket, done),
-                    Report::GaveWay(socket, done) => self.machine.gave_way(self.now, socket, done),
-                    Report::Cut(socket) => self.machine.ended(self.now, socket, End::Cut),
+                    Report::Stale(socket) => self.machine.idle_write_rejected(self.now, socket),
+                    Report::Parted(socket, done) => {
+                        self.machine.shutdown_write_result(self.now, socket, done)
+                    }
+                    Report::GaveWay(socket, done) => self.machine.close_result(self.now, socket, done),
+                    Report::Cut(socket) => self.machine.connection_ended(self.now, socket, End::Cut),
                 }
             }
             outputs.extend(self.machine.drain());
@@ -276,7 +278,7 @@
 
     pub fn establish(&mut self, socket: SocketId) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.up(self.now, socket);
+        self.machine.connection_established(self.now, socket);
         self.perform_outputs();
     }
 
@@ -286,7 +288,7 @@
 
     pub fn end_with(&mut self, socket: SocketId, end: End) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.ended(self.now, socket, end);
+        self.machine.connection_ended(self.now, socket, end);
         self.perform_outputs();
     }
 
--- a/crates/platform/tests/machine.rs
+++ b/crates/platform/tests/machine.rs
@@ -101,7 +101,7 @@
     gateway.end(late, false);
     gateway.end(client, false);
     assert!(!gateway.machine.is_over(), "clients may still connect");
-    gateway.machine.shut();
+    gateway.machine.listener_closed();
     assert!(gateway.machine.is_over(), "no connection is left");
 }
 
@@ -132,7 +132,7 @@
     let idle = gateway.connect_client();
     gateway.receive(client, write_request("last", 0, "x"));
     assert!(!gateway.machine.is_over());
-    gateway.machine.shut();
+    gateway.machine.listener_closed();
     gateway.advance(shutdown_at + 1_200_000 - gateway.now);
     // The node doesn't respond: the client is answered when the time is up, and the connections end.
     assert!(gateway.take_written(client).contains("Connection: close\r\n"));
@@ -151,7 +151,7 @@
     let shutdown_at = gateway.now;
     let half = gateway.connect_client();
     gateway.machine.leave(shutdown_at);
-    gateway.machine.shut();
+    gateway.machine.listener_closed();
     // The longest deadline is 1 s: SIGKILL comes 1.7 s after the shutdown request at the earliest.
     gateway.advance(1_150_000);
     gateway.receive(half, "GET /look");
--- a/crates/platform/tests/places.rs
+++ b/crates/platform/tests/places.rs
@@ -109,14 +109,14 @@
     let client = gateway.connect_client();
     let before = gateway.accept_permits;
     for _ in 0..50 {
-        gateway.machine.not_accepted();
+        gateway.machine.accept_failed();
         gateway.machine.tick(gateway.now);
         gateway.perform_outputs();
     }
     assert_eq!(gateway.accept_permits, before, "it fails again at once");
     gateway.end(client, false);
     assert_eq!(gateway.accept_permits, before + 1, "a descriptor was released");
-    gateway.machine.not_accepted();
+    gateway.machine.accept_failed();
     gateway.perform_outputs();
     gateway.advance(1_100_000);
     assert_eq!(gateway.accept_permits, before + 2);
--- a/crates/platform/tests/scenario/mod.rs
+++ b/crates/platform/tests/scenario/mod.rs
@@ -191,7 +191,7 @@
         assert_eq!(self.gateway.machine.open(), 0, "requests are still open at the end");
         self.checker.assert_all_answered();
         assert!(self.gateway.stopped_listening);
-        self.gateway.machine.shut();
+        self.gateway.machine.listener_closed();
         assert!(self.gateway.machine.is_over(), "the gateway does not exit");
     }
 
--- a/crates/world/src/world/conn.rs
+++ b/crates/world/src/world/conn.rs
@@ -104,7 +104,7 @@
         }
         let (g, Some(socket)) = (c.gateway, c.socket) else { return };
         if let Some(machine) = &mut self.gateways[g].machine {
-            machine.up(now, socket);
+            machine.connection_established(now, socket);
             self.drive(g);
         }
     }
@@ -162,7 +162,7 @@
         let Some(socket) = socket else { return };
         self.gateways[g].sockets.remove(&socket);
         if let Some(machine) = &mut self.gateways[g].machine {
-            machine.ended(now, socket, if was_up { End::Broken } else { End::Cut });
+            machine.connection_ended(now, socket, if was_up { End::Broken } else { End::Cut });
             self.drive(g);
         }
     }
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -254,20 +254,20 @@
                 if self.gateways[g].sockets.contains_key(&socket) {
                     self.write(g, socket, bytes);
                 } else if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.stale(now, socket);
+                    machine.idle_write_rejected(now, socket);
                 }
             }
             // In the world nothing stands unread, and what is written has gone out.
             Output::ShutdownWriteIfNoInput(socket) => {
                 self.output(g, Output::ShutdownWrite(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.parted(now, socket, true);
+                    machine.shutdown_write_result(now, socket, true);
                 }
             }
             Output::CloseIfIdle(socket) => {
                 self.output(g, Output::Close(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.gave_way(now, socket, true);
+                    machine.close_result(now, socket, true);
                 }
             }
             Output::CloseIfUnsent(_) => {}
@@ -298,7 +298,7 @@
                     self.accept(g, now, conn);
                 }
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.shut();
+                    machine.listener_closed();
                 }
             }
         }
