--- a/crates/capacity/src/parts/lists.rs
+++ b/crates/capacity/src/parts/lists.rs
@@ -34,7 +34,7 @@
         let now = 1_000_000_000;
         let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
         let mut machine = Machine::new(now, &config, sizes);
-        let watch = machine.drain().find_map(|output| match output {
+        let watch = machine.drain_outputs().find_map(|output| match output {
             Output::Connect(socket @ SocketId::Discovery(_), _) => Some(socket),
             _ => None,
         });
@@ -51,7 +51,7 @@
     fn bytes(&mut self, bytes: &[u8]) {
         for piece in bytes.chunks(READ) {
             self.machine.received(self.now, self.watch, self.now, piece);
-            self.machine.drain().for_each(drop);
+            self.machine.drain_outputs().for_each(drop);
         }
     }
 
@@ -106,7 +106,7 @@
         let (machine, now) = (&mut stage.machine, stage.now);
         seconds.push(timed(|| {
             machine.tick(now);
-            machine.drain().for_each(drop);
+            machine.drain_outputs().for_each(drop);
         }));
     }
     stage.check(nodes)?;
@@ -153,6 +153,6 @@
 /// A machine that remembers the whole list and has opened nothing.
 pub(super) fn machine(config: &platform::Config) -> Machine {
     let mut machine = Machine::new(0, config, Sizes::of(config.limits.sockets, config.limits.memory_mb));
-    machine.drain().for_each(drop::<Output>);
+    machine.drain_outputs().for_each(drop::<Output>);
     machine
 }
--- a/crates/platform/examples/unanswered_cost.rs
+++ b/crates/platform/examples/unanswered_cost.rs
@@ -124,7 +124,7 @@
         gateway.written.clear();
         gateway.closed.clear();
     }
-    assert!(gateway.machine.take_unanswered().is_empty(), "all were served");
+    assert!(gateway.machine.take_unanswered_lines().is_empty(), "all were served");
     gateway
 }
 
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -171,7 +171,7 @@
             stall_detector.begin_iteration(now);
             self.machine.tick(now);
             self.perform_outputs(now);
-            if self.machine.is_over() {
+            if self.machine.is_finished() {
                 self.log_unanswered();
                 return tracing::info!("{}; all is answered", self.machine.summary());
             }
@@ -223,7 +223,7 @@
     }
 
     fn log_unanswered(&mut self) {
-        self.machine.take_unanswered().iter().for_each(|line| tracing::info!("{line}"));
+        self.machine.take_unanswered_lines().iter().for_each(|line| tracing::info!("{line}"));
     }
 
     fn handle_message(&mut self, message: Message) {
@@ -245,8 +245,10 @@
             }
             Message::Ended { socket, .. } => return self.descriptor_released(socket),
             Message::Up { .. } | Message::Bytes { .. } => return,
-            Message::Command(Command::SetDiscovery(address)) => self.machine.reconfigured(now, address),
-            Message::Command(Command::ShutDown) => self.machine.leave(now),
+            Message::Command(Command::SetDiscovery(address)) => {
+                self.machine.set_discovery_address(now, address)
+            }
+            Message::Command(Command::ShutDown) => self.machine.shut_down(now),
         }
         self.perform_outputs(now);
     }
@@ -309,7 +311,7 @@
     /// Performs the machine's operations until there are none left.
     fn perform_outputs(&mut self, now: Micros) {
         loop {
-            let outputs: Vec<Output> = self.machine.drain().collect();
+            let outputs: Vec<Output> = self.machine.drain_outputs().collect();
             if outputs.is_empty() {
                 return;
             }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -86,7 +86,7 @@
 
 /// The state machine of one gateway.
 ///
-/// After every call, [`Machine::drain`] returns the operations to perform.
+/// After every call, [`Machine::drain_outputs`] returns the operations to perform.
 pub struct Machine {
     service: Service,
     cancel_attempts: bool,
@@ -176,7 +176,7 @@
     }
 
     /// Returns the pending operations, in the order in which they are to be performed.
-    pub fn drain(&mut self) -> std::vec::Drain<'_, Output> {
+    pub fn drain_outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outputs.drain(..)
     }
 
@@ -200,18 +200,18 @@
     }
 
     /// Whether shutdown is complete: the listener is closed and no client connection is left.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.listener_closed && self.clients.is_empty()
     }
 
     /// Returns the number of requests without a final response.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.dispatcher.open()
     }
 
     /// Returns the number of entries in all tables except the log lines not taken yet. Tests use it to find
     /// leaks.
-    pub fn held(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         let nodes = self.dispatcher.node_views().len() + self.nodes.len();
         let requests = self.dispatcher.open() + self.dispatcher.out().count() + self.open_request_ids.len();
         self.clients.len()
@@ -223,7 +223,7 @@
     }
 
     /// Returns log lines on the requests that ended without a final response since the last call.
-    pub fn take_unanswered(&mut self) -> Vec<String> {
+    pub fn take_unanswered_lines(&mut self) -> Vec<String> {
         self.unanswered.take_lines()
     }
 
@@ -363,7 +363,7 @@
 
     /// Switches to another discovery address. The previous watch is followed until the new one has delivered
     /// something.
-    pub fn reconfigured(&mut self, now: Micros, discovery: SocketAddr) {
+    pub fn set_discovery_address(&mut self, now: Micros, discovery: SocketAddr) {
         let steps = self.discovery.set_address(now, discovery);
         self.run_discovery_steps(now, steps);
         self.tick(now);
--- a/crates/platform/src/machine/shutdown.rs
+++ b/crates/platform/src/machine/shutdown.rs
@@ -33,7 +33,7 @@
     ///
     /// Requests admitted earlier whose deadlines lie beyond that exit are answered by then too, because
     /// SIGKILL doesn't wait.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn shut_down(&mut self, now: Micros) {
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
             if let Some(deadline) = self.shutdown_deadline() {
--- a/crates/platform/tests/agent/mod.rs
+++ b/crates/platform/tests/agent/mod.rs
@@ -268,7 +268,7 @@
                 self.address += 1;
                 let old: Vec<SocketId> = self.calls.keys().copied().collect();
                 old.into_iter().for_each(|c| self.schedule_after(OLD_WATCH_CLOSE_DELAY, Event::End(c)));
-                self.gateway.machine.reconfigured(self.gateway.now, address(self.address));
+                self.gateway.machine.set_discovery_address(self.gateway.now, address(self.address));
                 self.gateway.perform_outputs();
             }
             Event::Established(_) | Event::EmptyLine(_) | Event::SendChanges(_) => {}
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -109,7 +109,7 @@
         let statuses = gateway.take_statuses(client);
         assert!(matches!(statuses[..], [400..=428 | 430..=499 | 501 | 505]), "{what}: {statuses:?}");
         assert!(gateway.connecting_to_nodes().is_empty(), "{what}: it reached a node");
-        assert_eq!(gateway.machine.open(), 0, "{what}: it was admitted");
+        assert_eq!(gateway.machine.open_requests(), 0, "{what}: it was admitted");
     }
 }
 
@@ -122,7 +122,7 @@
     gateway.receive(client, outer);
     gateway.receive(client, read_request("after", 0));
     gateway.advance(3_000_000);
-    assert!(gateway.connecting_to_nodes().is_empty() && gateway.machine.open() == 0);
+    assert!(gateway.connecting_to_nodes().is_empty() && gateway.machine.open_requests() == 0);
     assert_eq!(gateway.take_statuses(client), [400]);
     assert!(gateway.finished.contains(&client) && gateway.closed.contains(&client));
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -176,7 +176,7 @@
     }
 
     pub fn perform_outputs(&mut self) {
-        let mut outputs: Vec<Output> = self.machine.drain().collect();
+        let mut outputs: Vec<Output> = self.machine.drain_outputs().collect();
         while !outputs.is_empty() {
             self.perform(std::mem::take(&mut outputs));
             for report in std::mem::take(&mut self.reports) {
@@ -189,7 +189,7 @@
                     Report::Cut(socket) => self.machine.connection_ended(self.now, socket, End::Cut),
                 }
             }
-            outputs.extend(self.machine.drain());
+            outputs.extend(self.machine.drain_outputs());
         }
     }
 
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -102,7 +102,7 @@
     gateway.establish(node);
     gateway.advance(1_000_000);
     assert_eq!(gateway.take_written(node), "", "its request was taken back");
-    assert_eq!(gateway.machine.open(), 0);
+    assert_eq!(gateway.machine.open_requests(), 0);
 }
 
 #[test]
@@ -322,7 +322,7 @@
         &read_request("r2", 1).replace("X-Timeout-Ms: 400", "X-Timeout-Ms: 4000"),
     );
     let silent = gateway.establish_node();
-    gateway.machine.leave(gateway.now);
+    gateway.machine.shut_down(gateway.now);
     gateway.perform_outputs();
     gateway.receive(silent, ok_response("2"));
     assert_eq!(gateway.take_statuses(other), [200]);
@@ -337,7 +337,7 @@
 /// comes to it. Otherwise its node is given 400 ms after 250 of them have passed, and the client gets its
 /// response too late or not at all.
 ///
-/// `Machine::answer` went on with pipelined requests as if they had just arrived. In the restart soak, nodes
+/// `Machine::send_final_response` went on with pipelined requests as if they had just arrived. In the restart soak, nodes
 /// were given up to 1.4 s more than was left, and pipelined requests had no response 0.6 s after their
 /// deadline.
 #[test]
@@ -368,7 +368,7 @@
 /// Complete requests behind one whose response would end the connection must be answered first. The response
 /// ends the connection where slots are short or the gateway shuts down.
 ///
-/// `Machine::write` ended the connection without checking for pipelined requests. In the restart soak with
+/// `Machine::write_response` ended the connection without checking for pipelined requests. In the restart soak with
 /// many idle clients, pipelined requests ended without a response up to 0.6 s after they were written, with
 /// no attempt.
 #[test]
@@ -394,7 +394,7 @@
         &(write_request("r1", 0, "x") + &read_request("r2", 1) + &read_request("r3", 1)),
     );
     let _silent = gateway.establish_node();
-    gateway.machine.leave(gateway.now);
+    gateway.machine.shut_down(gateway.now);
     gateway.perform_outputs();
     gateway.advance(1_700_000 - 1);
     assert_eq!(gateway.take_statuses(client).len(), 3);
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -232,7 +232,7 @@
 #[test]
 fn a_silent_watch_on_the_previous_address_closes_once_the_current_one_is_live() {
     let (mut gateway, before) = gateway_with_watch();
-    gateway.machine.reconfigured(gateway.now, address(2));
+    gateway.machine.set_discovery_address(gateway.now, address(2));
     gateway.perform_outputs();
     let after = gateway.establish_watch();
     gateway.receive(after, WATCH_RESPONSE_HEAD);
--- a/crates/platform/tests/machine.rs
+++ b/crates/platform/tests/machine.rs
@@ -65,7 +65,7 @@
     let mut gateway = TestGateway::with_two_nodes();
     let old = gateway.establish_watch();
     gateway.receive(old, WATCH_RESPONSE_HEAD);
-    gateway.machine.reconfigured(gateway.now, address(2));
+    gateway.machine.set_discovery_address(gateway.now, address(2));
     gateway.perform_outputs();
     assert_eq!(gateway.connecting.iter().map(|(_, a)| *a).collect::<Vec<_>>(), [address(2)]);
     gateway.send_list(old, &node_list(6, false, &[list_entry("a", address(200), 0, "in_service")]));
@@ -83,8 +83,8 @@
 #[test]
 fn shutdown_accepts_late_connections_and_answers_all_requests() {
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
-    gateway.machine.leave(gateway.now);
-    gateway.machine.leave(gateway.now);
+    gateway.machine.shut_down(gateway.now);
+    gateway.machine.shut_down(gateway.now);
     gateway.advance(200_000);
     let late = gateway.connect_client();
     gateway.receive(late, read_request("r2", 0));
@@ -93,16 +93,16 @@
     assert_eq!(gateway.take_statuses(late), [200]);
     assert!(!gateway.stopped_listening);
     gateway.advance(150_000);
-    assert!(gateway.take_statuses(client).is_empty() && !gateway.machine.is_over());
+    assert!(gateway.take_statuses(client).is_empty() && !gateway.machine.is_finished());
     gateway.receive(node, ok_response("1"));
     assert_eq!(gateway.take_statuses(client), [200]);
     gateway.advance(200_000);
     assert!(gateway.stopped_listening && !gateway.finished.contains(&client));
     gateway.end(late, false);
     gateway.end(client, false);
-    assert!(!gateway.machine.is_over(), "clients may still connect");
+    assert!(!gateway.machine.is_finished(), "clients may still connect");
     gateway.machine.listener_closed();
-    assert!(gateway.machine.is_over(), "no connection is left");
+    assert!(gateway.machine.is_finished(), "no connection is left");
 }
 
 #[test]
@@ -112,7 +112,7 @@
     assert!(!gateway.take_written(client).contains("Connection: close\r\n"));
     // The longest deadline is 1 s: SIGKILL may come 1.7 s after the shutdown request.
     let shutdown_at = gateway.now;
-    gateway.machine.leave(shutdown_at);
+    gateway.machine.shut_down(shutdown_at);
     let mut served_count = 0;
     while gateway.now < shutdown_at + 1_000_000 {
         gateway.advance(100_000);
@@ -131,14 +131,14 @@
     assert!(served_count >= 9);
     let idle = gateway.connect_client();
     gateway.receive(client, write_request("last", 0, "x"));
-    assert!(!gateway.machine.is_over());
+    assert!(!gateway.machine.is_finished());
     gateway.machine.listener_closed();
     gateway.advance(shutdown_at + 1_200_000 - gateway.now);
     // The node doesn't respond: the client is answered when the time is up, and the connections end.
     assert!(gateway.take_written(client).contains("Connection: close\r\n"));
     assert!(gateway.finished.contains(&client) && gateway.finished.contains(&idle));
     gateway.advance(500_000);
-    assert!(gateway.machine.is_over() && gateway.now <= shutdown_at + 1_700_000);
+    assert!(gateway.machine.is_finished() && gateway.now <= shutdown_at + 1_700_000);
 }
 
 /// Clients that are idle or slow to read and don't close their connections must not keep the process running
@@ -150,7 +150,7 @@
     gateway.receive(node, ok_response("0"));
     let shutdown_at = gateway.now;
     let half = gateway.connect_client();
-    gateway.machine.leave(shutdown_at);
+    gateway.machine.shut_down(shutdown_at);
     gateway.machine.listener_closed();
     // The longest deadline is 1 s: SIGKILL comes 1.7 s after the shutdown request at the earliest.
     gateway.advance(1_150_000);
@@ -161,7 +161,7 @@
     assert!(
         gateway.closed.contains(&client) && gateway.closed.contains(&half) && gateway.closed.contains(&slow)
     );
-    assert!(gateway.machine.is_over());
+    assert!(gateway.machine.is_finished());
 }
 
 #[test]
@@ -212,7 +212,7 @@
         }
     };
     expire_entries(&mut gateway);
-    let before = gateway.machine.held();
+    let before = gateway.machine.table_entries();
     for n in 200..4000 {
         round(&mut gateway, n);
         if n % 100 == 0 {
@@ -221,10 +221,10 @@
     }
     expire_entries(&mut gateway);
     assert!(
-        gateway.machine.held() <= before,
+        gateway.machine.table_entries() <= before,
         "{} entries before, {} after; {}",
         before,
-        gateway.machine.held(),
+        gateway.machine.table_entries(),
         gateway.machine.summary()
     );
 }
@@ -288,7 +288,7 @@
             }
         }
         gateway.advance(6_000_000);
-        prop_assert_eq!(gateway.machine.open(), 0);
+        prop_assert_eq!(gateway.machine.open_requests(), 0);
         let answers: usize = clients.iter().map(|&c| gateway.take_statuses(c).iter().filter(|&&n| n == 200).count()).sum();
         prop_assert!(answers <= served);
     }
--- a/crates/platform/tests/nodes.rs
+++ b/crates/platform/tests/nodes.rs
@@ -67,7 +67,7 @@
     // ran, 502 otherwise.
     let answered = |answer: &str| {
         let (mut gateway, client, node) = gateway_with_sent_request(&write_request("r1", 0, "x"));
-        while gateway.machine.open() > 0 {
+        while gateway.machine.open_requests() > 0 {
             if !gateway.take_written(node).is_empty() {
                 gateway.receive(node, answer);
             }
@@ -148,7 +148,7 @@
     let after = answer.lines().find_map(|l| l.strip_prefix("Retry-After: ")).expect("advice");
     assert!(after.parse::<f64>().is_ok_and(|a| a > 0.0 && a <= 1.0), "{after}");
     // Held until its latency target, not until its deadline.
-    assert_eq!(gateway.machine.open(), 0);
+    assert_eq!(gateway.machine.open_requests(), 0);
 }
 
 #[test]
@@ -156,7 +156,7 @@
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.end(client, false);
     assert!(gateway.closed.contains(&node));
-    assert_eq!(gateway.machine.open(), 0);
+    assert_eq!(gateway.machine.open_requests(), 0);
     // An attempt that waits for its connection is never sent.
     let client = gateway.connect_client();
     gateway.receive(client, read_request("r2", 0));
--- a/crates/platform/tests/scenario/mod.rs
+++ b/crates/platform/tests/scenario/mod.rs
@@ -166,7 +166,7 @@
             Event::TimePasses(span) => self.advance(span),
             Event::ListChanges(node, change) => self.change_list(node, change),
             Event::DiscoveryMoves => {
-                self.gateway.machine.reconfigured(self.gateway.now, address(2));
+                self.gateway.machine.set_discovery_address(self.gateway.now, address(2));
                 self.gateway.perform_outputs();
                 self.watch = None;
             }
@@ -176,7 +176,7 @@
     }
 
     pub fn shut_down(&mut self) {
-        self.gateway.machine.leave(self.gateway.now);
+        self.gateway.machine.shut_down(self.gateway.now);
         self.gateway.perform_outputs();
     }
 
@@ -188,11 +188,11 @@
         for _ in 0..300 {
             self.advance(100_000);
         }
-        assert_eq!(self.gateway.machine.open(), 0, "requests are still open at the end");
+        assert_eq!(self.gateway.machine.open_requests(), 0, "requests are still open at the end");
         self.checker.assert_all_answered();
         assert!(self.gateway.stopped_listening);
         self.gateway.machine.listener_closed();
-        assert!(self.gateway.machine.is_over(), "the gateway does not exit");
+        assert!(self.gateway.machine.is_finished(), "the gateway does not exit");
     }
 
     /// Advances the time; unread requests are read after a while.
--- a/crates/platform/tests/unanswered.rs
+++ b/crates/platform/tests/unanswered.rs
@@ -7,7 +7,7 @@
 
 /// Takes the log lines of requests that ended without a response.
 fn take_lines(gateway: &mut TestGateway) -> Vec<String> {
-    gateway.machine.take_unanswered()
+    gateway.machine.take_unanswered_lines()
 }
 
 #[test]
--- a/crates/world/src/world/discovery.rs
+++ b/crates/world/src/world/discovery.rs
@@ -241,7 +241,7 @@
         let open = self.conns_where(|c| c.gateway == g && matches!(c.peer, Peer::Agent(_)));
         open.into_iter().for_each(|c| self.line.plan(OLD_ENDS, Event::EndAtGateway(c)));
         let Some(machine) = &mut self.gateways[g].machine else { return };
-        machine.reconfigured(now, ELSEWHERE);
+        machine.set_discovery_address(now, ELSEWHERE);
         self.drive(g);
     }
 
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -149,7 +149,7 @@
         let now = self.line.now();
         let gateway = &mut self.gateways[g];
         let Some(machine) = &mut gateway.machine else { return };
-        machine.leave(now);
+        machine.shut_down(now);
         gateway.left = Some(now);
         let life = gateway.life;
         let killed =
@@ -179,7 +179,7 @@
         let now = self.line.now();
         loop {
             let Some(machine) = &mut self.gateways[g].machine else { return };
-            let outputs: Vec<Output> = machine.drain().collect();
+            let outputs: Vec<Output> = machine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
@@ -190,8 +190,8 @@
         }
         let gateway = &mut self.gateways[g];
         let Some(machine) = &gateway.machine else { return };
-        self.tally.most_held = self.tally.most_held.max(machine.held());
-        if machine.is_over() {
+        self.tally.most_held = self.tally.most_held.max(machine.table_entries());
+        if machine.is_finished() {
             return self.kill(g);
         }
         let due = machine.next_due();
