--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -86,7 +86,7 @@
 
 /// The state machine of one gateway.
 ///
-/// After every call, [`Machine::drain`] returns the operations to perform.
+/// After every call, [`Machine::drain_outputs`] returns the operations to perform.
 pub struct Machine {
     service: Service,
     cancel_attempts: bool,
@@ -176,7 +176,7 @@
     }
 
     /// Returns the pending operations, in the order in which they are to be performed.
-    pub fn drain(&mut self) -> std::vec::Drain<'_, Output> {
+    pub fn drain_outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outputs.drain(..)
     }
 
@@ -200,18 +200,18 @@
     }
 
     /// Whether shutdown is complete: the listener is closed and no client connection is left.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.listener_closed && self.clients.is_empty()
     }
 
     /// Returns the number of requests without a final response.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.dispatcher.open_requests()
     }
 
     /// Returns the number of entries in all tables except the log lines not taken yet. Tests use it to find
     /// leaks.
-    pub fn held(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         let nodes = self.dispatcher.node_views().len() + self.nodes.len();
         let requests = self.dispatcher.open_requests()
             + self.dispatcher.attempts_in_flight().count()
@@ -225,7 +225,7 @@
     }
 
     /// Returns log lines on the requests that ended without a final response since the last call.
-    pub fn take_unanswered(&mut self) -> Vec<String> {
+    pub fn take_unanswered_lines(&mut self) -> Vec<String> {
         self.unanswered.take_lines()
     }
 
@@ -248,18 +248,18 @@
     ///
     /// Without a free descriptor, a permit issued at once would fail at once again and the gateway would do
     /// nothing else. The cost is that the next client waits for up to [`SWEEP_INTERVAL`].
-    pub fn not_accepted(&mut self) {
+    pub fn accept_failed(&mut self) {
         (self.accept_wanted, self.out_of_descriptors) = (true, true);
     }
 
     /// Notes that the listener's queue has been accepted and the listener is closed. Exiting before that
     /// would lose connections which the system has already accepted.
-    pub fn shut(&mut self) {
+    pub fn listener_closed(&mut self) {
         self.listener_closed = true;
     }
 
     /// Handles a connection that has been established.
-    pub fn up(&mut self, now: Micros, socket: SocketId) {
+    pub fn connection_established(&mut self, now: Micros, socket: SocketId) {
         match socket {
             SocketId::Client(_) => {}
             SocketId::Node(id) => {
@@ -280,7 +280,7 @@
     /// A node may close a connection, or send more than its response, right after responding; a request
     /// written then is lost with the connection and may still have run. The attempt was never sent, so it
     /// takes another connection.
-    pub fn stale(&mut self, now: Micros, socket: SocketId) {
+    pub fn idle_write_rejected(&mut self, now: Micros, socket: SocketId) {
         let SocketId::Node(id) = socket else { return };
         if let Some((attempt, node)) = self.connections.take_unusable(id) {
             self.send_attempt(now, attempt, node);
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Handles bytes read from a connection at `at`; more is read after [`Output::Resume`].
+    /// Handles bytes read from a connection at `at`; more is read after [`Output::ResumeReading`].
     pub fn received(&mut self, now: Micros, socket: SocketId, at: Micros, bytes: &[u8]) {
         match socket {
             SocketId::Client(id) => return self.client_received(now, id, at, bytes),
@@ -301,11 +301,11 @@
                 self.run_discovery_steps(now, steps);
             }
         }
-        self.outputs.push(Output::Resume(socket));
+        self.outputs.push(Output::ResumeReading(socket));
     }
 
     /// Handles a connection that ended or could not be established.
-    pub fn ended(&mut self, now: Micros, socket: SocketId, end: End) {
+    pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: End) {
         self.out_of_descriptors = false;
         match socket {
             SocketId::Client(id) => self.client_ended(now, id, end),
@@ -358,14 +358,14 @@
             && now >= since + ACCEPT_AFTER_SIGTERM
         {
             self.stop_listening_sent = true;
-            self.outputs.push(Output::Unlisten);
+            self.outputs.push(Output::StopListening);
         }
         self.make_room(now);
     }
 
     /// Switches to another discovery address. The previous watch is followed until the new one has delivered
     /// something.
-    pub fn reconfigured(&mut self, now: Micros, discovery: SocketAddr) {
+    pub fn set_discovery_address(&mut self, now: Micros, discovery: SocketAddr) {
         let steps = self.discovery.set_address(now, discovery);
         self.run_discovery_steps(now, steps);
         self.tick(now);
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -107,7 +107,7 @@
     pub unread: BTreeSet<SocketId>,
     pub blocked_output: BTreeSet<SocketId>,
     reports: Vec<Report>,
-    /// Number of [`Output::Resume`] operations.
+    /// Number of [`Output::ResumeReading`] operations.
     pub resume_count: usize,
     pub accept_permits: usize,
     pub stopped_listening: bool,
@@ -176,18 +176,20 @@
     }
 
     pub fn perform_outputs(&mut self) {
-        let mut outputs: Vec<Output> = self.machine.drain().collect();
+        let mut outputs: Vec<Output> = self.machine.drain_outputs().collect();
         while !outputs.is_empty() {
             self.perform(std::mem::take(&mut outputs));
             for report in std::mem::take(&mut self.reports) {
                 match report {
-                    Report::Stale(socket) => self.machine.stale(self.now, socket),
-                    Report::Parted(socket, done) => self.machine.parted(self.now, socket, done),
-                    Report::GaveWay(socket, done) => self.machine.gave_way(self.now, socket, done),
-                    Report::Cut(socket) => self.machine.ended(self.now, socket, End::Cut),
+                    Report::Stale(socket) => self.machine.idle_write_rejected(self.now, socket),
+                    Report::Parted(socket, done) => {
+                        self.machine.shutdown_write_result(self.now, socket, done)
+                    }
+                    Report::GaveWay(socket, done) => self.machine.close_result(self.now, socket, done),
+                    Report::Cut(socket) => self.machine.connection_ended(self.now, socket, End::Cut),
                 }
             }
-            outputs.extend(self.machine.drain());
+            outputs.extend(self.machine.drain_outputs());
         }
     }
 
@@ -202,7 +204,7 @@
                     assert!(!self.closed.contains(&socket), "written after it was closed: {socket:?}");
                     self.written.entry(socket).or_default().extend_from_slice(&bytes);
                 }
-                Output::Reuse(socket, bytes) => {
+                Output::WriteIfIdle(socket, bytes) => {
                     assert!(!self.closed.contains(&socket), "used again after it was closed: {socket:?}");
                     if self.closed_by_node.remove(&socket) {
                         self.closed.insert(socket);
@@ -211,24 +213,24 @@
                         self.written.entry(socket).or_default().extend_from_slice(&bytes);
                     }
                 }
-                Output::Finish(socket) => {
+                Output::ShutdownWrite(socket) => {
                     self.finished.insert(socket);
                 }
-                Output::Part(socket) => {
+                Output::ShutdownWriteIfNoInput(socket) => {
                     let done = !self.unread.contains(&socket);
                     if done {
                         self.finished.insert(socket);
                     }
                     self.reports.push(Report::Parted(socket, done));
                 }
-                Output::GiveWay(socket) => {
+                Output::CloseIfIdle(socket) => {
                     let done = !self.unread.contains(&socket) && !self.blocked_output.contains(&socket);
                     if done {
                         self.closed.insert(socket);
                     }
                     self.reports.push(Report::GaveWay(socket, done));
                 }
-                Output::Cut(socket) => {
+                Output::CloseIfUnsent(socket) => {
                     if self.blocked_output.remove(&socket) {
                         self.closed.insert(socket);
                         self.reports.push(Report::Cut(socket));
@@ -238,9 +240,9 @@
                     self.closed.insert(socket);
                     self.connecting.retain(|(connecting, _)| *connecting != socket);
                 }
-                Output::Resume(_) => self.resume_count += 1,
+                Output::ResumeReading(_) => self.resume_count += 1,
                 Output::Accept => self.accept_permits += 1,
-                Output::Unlisten => self.stopped_listening = true,
+                Output::StopListening => self.stopped_listening = true,
             }
         }
     }
@@ -276,7 +278,7 @@
 
     pub fn establish(&mut self, socket: SocketId) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.up(self.now, socket);
+        self.machine.connection_established(self.now, socket);
         self.perform_outputs();
     }
 
@@ -286,7 +288,7 @@
 
     pub fn end_with(&mut self, socket: SocketId, end: End) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.ended(self.now, socket, end);
+        self.machine.connection_ended(self.now, socket, end);
         self.perform_outputs();
     }
 
