--- a/crates/gateway/src/journal_writer.rs
+++ b/crates/gateway/src/journal_writer.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Display;
 
-use sync::{Taker, planted};
+use sync::{QueueReceiver, planted};
 
 /// A job for the journal thread.
 pub(crate) enum Job {
@@ -32,11 +32,11 @@
 /// durable with a single sync. After that sync `acknowledge` receives the numbers of the group once, in
 /// order, with the error if they could not be stored.
 pub(crate) fn run<S: RecordStore>(
-    jobs: &Taker<Job>,
+    jobs: &QueueReceiver<Job>,
     store: &mut S,
     acknowledge: impl Fn(Vec<u64>, Option<String>),
 ) {
-    while let Some(group) = jobs.take_all() {
+    while let Some(group) = jobs.receive_all() {
         let (mut sequences, mut result) = (Vec::new(), Ok(()));
         for job in group {
             match job {
--- a/crates/gateway/src/write_journal.rs
+++ b/crates/gateway/src/write_journal.rs
@@ -8,7 +8,7 @@
 use filelog::{Log, LogError, Opened};
 use recovery::{Digest, Hand, InHand, Note, Place};
 use storage_core::{AttemptId, Micros, Send};
-use sync::Giver;
+use sync::QueueSender;
 
 use crate::journal_writer::{self, Job, RecordStore};
 use crate::message::{Inbox, Message};
@@ -25,7 +25,7 @@
     waiting_sends: BTreeMap<u64, Send>,
     next_sequence: u64,
     max_execution_time: Micros,
-    jobs: Giver<Job>,
+    jobs: QueueSender<Job>,
     /// Records of finished writes; nothing waits for them to be durable.
     finished: Vec<Note>,
 }
@@ -66,7 +66,7 @@
         if keep_mark {
             log.keep_mark()?;
         }
-        let (jobs, thread_jobs) = sync::handover();
+        let (jobs, thread_jobs) = sync::queue();
         let started = thread::Builder::new().name("journal".into()).spawn(move || {
             let mut file = JournalFile { log, number_seed: seed };
             let acknowledge = |sequences, error| inbox.send(Message::JournalSynced { sequences, error });
@@ -171,7 +171,7 @@
 
     fn submit(&self, job: Job) {
         // The thread ends only with the process.
-        self.jobs.give(job);
+        self.jobs.send(job);
     }
 }
 
--- a/crates/interleavings/tests/entry.rs
+++ b/crates/interleavings/tests/entry.rs
@@ -11,7 +11,7 @@
 use limits::{ConnectionId, Gate, GateOptions, Opened};
 use registration::register;
 use sync::checker::{Plant, caught, check};
-use sync::{Arc, Mutex, handover, lock, thread};
+use sync::{Arc, Mutex, lock, queue, thread};
 
 /// What the engine is told.
 enum Message {
@@ -39,17 +39,17 @@
     let gate = Arc::new(Mutex::new(gate()));
     let (first, second) = (ConnectionId(1), ConnectionId(2));
     let from = IpAddr::V4(Ipv4Addr::LOCALHOST);
-    let (gives, inbox) = handover();
+    let (gives, inbox) = queue();
     let gives = Arc::new(gives);
     assert_eq!(lock(&gate).open(0, first, from), Opened::Kept);
     let (own, tells) = (gate.clone(), gives.clone());
-    let serves = thread::spawn(move || register(&own, first, || assert!(tells.give(Message::Opened(first)))));
+    let serves = thread::spawn(move || register(&own, first, || assert!(tells.send(Message::Opened(first)))));
     assert_eq!(lock(&gate).open(0, second, from), Opened::InPlaceOf(first));
-    gives.give(Message::Evict(first));
+    gives.send(Message::Evict(first));
     drop(gives);
     let goes_on = serves.join().expect("it was served");
     let (mut known, mut closed) = (BTreeSet::new(), BTreeSet::new());
-    while let Some(message) = inbox.take() {
+    while let Some(message) = inbox.receive() {
         match message {
             Message::Opened(id) => {
                 known.insert(id);
--- a/crates/interleavings/tests/handover.rs
+++ b/crates/interleavings/tests/handover.rs
@@ -1,53 +1,53 @@
 //! Things are given, taken and ended by two threads.
 
 use interleavings::checker::{Plant, caught, check};
-use interleavings::{Arc, Mutex, handover, lock, thread};
+use interleavings::{Arc, Mutex, lock, queue, thread};
 
 fn given_and_ended() {
-    let (giver, taker) = handover();
+    let (giver, taker) = queue();
     let takes = thread::spawn(move || {
         let mut taken = Vec::new();
-        while let Some(n) = taker.take() {
+        while let Some(n) = taker.receive() {
             taken.push(n);
         }
         taken
     });
-    assert!(giver.give(1));
-    assert!(giver.give(2));
+    assert!(giver.send(1));
+    assert!(giver.send(2));
     drop(giver);
     assert_eq!(takes.join().expect("it took"), [1, 2], "something given was not taken");
 }
 
 fn given_and_taken_at_once() {
-    let (giver, taker) = handover();
+    let (giver, taker) = queue();
     let takes = thread::spawn(move || {
         let mut taken = Vec::new();
-        while let Some(all) = taker.take_all() {
+        while let Some(all) = taker.receive_all() {
             assert!(!all.is_empty());
             taken.extend(all);
         }
         taken
     });
-    (0..3).for_each(|n| assert!(giver.give(n)));
+    (0..3).for_each(|n| assert!(giver.send(n)));
     drop(giver);
     assert_eq!(takes.join().expect("it took"), [0, 1, 2], "something given was not taken");
 }
 
 /// Each thing is taken, or dropped with the taker, or comes back as not given; the giver never waits.
 fn given_to_one_that_goes() {
-    let (giver, taker) = handover();
+    let (giver, taker) = queue();
     let taken = Arc::new(Mutex::new(0));
     let counts = taken.clone();
     let takes = thread::spawn(move || {
-        *lock(&counts) += taker.take().map_or(0, |_| 1);
+        *lock(&counts) += taker.receive().map_or(0, |_| 1);
     });
     let thing = std::sync::Arc::new(());
-    let given = [0, 1].map(|_| giver.give(thing.clone()));
+    let given = [0, 1].map(|_| giver.send(thing.clone()));
     takes.join().expect("it took");
     assert!(given[0] || !given[1], "a taker that had gone came back");
     assert_eq!((given[0], *lock(&taken)), (true, 1));
     assert_eq!(std::sync::Arc::strong_count(&thing), 1, "a thing was kept for nobody");
-    assert!(!giver.give(thing));
+    assert!(!giver.send(thing));
 }
 
 #[test]
--- a/crates/interleavings/tests/journal.rs
+++ b/crates/interleavings/tests/journal.rs
@@ -7,7 +7,7 @@
 
 use journal_writer::{Job, RecordStore, run};
 use sync::checker::{Plant, caught, check};
-use sync::{Arc, Mutex, handover, lock, thread};
+use sync::{Arc, Mutex, lock, queue, thread};
 
 /// The disk, as whoever reads it after a cut of power finds it.
 #[derive(Debug, Default)]
@@ -69,14 +69,14 @@
 fn kept(fails_at: Option<usize>) {
     let disk = Shared::default();
     disk.lock().expect("whole").fails_at = fails_at;
-    let (jobs, taken) = handover();
+    let (jobs, taken) = queue();
     let own = disk.clone();
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
         run(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
     });
     for seq in 1..=3 {
-        assert!(jobs.give(Job::Append(seq, vec![record(seq)])));
+        assert!(jobs.send(Job::Append(seq, vec![record(seq)])));
     }
     drop(jobs);
     thread.join().expect("it kept");
@@ -89,23 +89,23 @@
 /// The engine waits for an acknowledgement before it goes on; nobody else wakes the thread.
 fn kept_one_by_one() {
     let disk = Shared::default();
-    let (jobs, taken) = handover();
-    let (acknowledges, acknowledged) = handover();
+    let (jobs, taken) = queue();
+    let (acknowledges, acknowledged) = queue();
     let own = disk.clone();
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
         run(&taken, &mut log, |seqs, error| {
-            assert!(acknowledges.give(seqs.clone()));
+            assert!(acknowledges.send(seqs.clone()));
             tell(&own, seqs, error);
         });
     });
-    jobs.give(Job::Append(1, vec![record(1)]));
-    assert_eq!(acknowledged.take(), Some(vec![1]));
+    jobs.send(Job::Append(1, vec![record(1)]));
+    assert_eq!(acknowledged.receive(), Some(vec![1]));
     // What nobody waits for, and the journal written anew: none of it is acknowledged.
-    jobs.give(Job::Append(0, vec![record(7)]));
-    jobs.give(Job::Rewrite(vec![record(9)]));
-    jobs.give(Job::Append(2, vec![record(2)]));
-    assert_eq!(acknowledged.take(), Some(vec![2]));
+    jobs.send(Job::Append(0, vec![record(7)]));
+    jobs.send(Job::Rewrite(vec![record(9)]));
+    jobs.send(Job::Append(2, vec![record(2)]));
+    assert_eq!(acknowledged.receive(), Some(vec![2]));
     drop(jobs);
     thread.join().expect("it kept");
     assert_eq!(disk.lock().expect("whole").durable, [record(9), record(2)]);
@@ -114,17 +114,17 @@
 /// Two threads share the counter of what was given; the facade's lock is theirs.
 fn given_by_turns() {
     let disk = Shared::default();
-    let (jobs, taken) = handover();
+    let (jobs, taken) = queue();
     let jobs = Arc::new(Mutex::new((0, jobs)));
     let (own, other) = (disk.clone(), jobs.clone());
     let thread = thread::spawn(move || {
         let mut log = Log(own.clone());
         run(&taken, &mut log, |seqs, error| tell(&own, seqs, error));
     });
-    let give = |jobs: &Mutex<(u64, sync::Giver<Job>)>| {
+    let give = |jobs: &Mutex<(u64, sync::QueueSender<Job>)>| {
         let mut jobs = lock(jobs);
         jobs.0 += 1;
-        jobs.1.give(Job::Append(jobs.0, vec![record(jobs.0)]));
+        jobs.1.send(Job::Append(jobs.0, vec![record(jobs.0)]));
     };
     let gives = thread::spawn(move || give(&other));
     give(&jobs);
--- a/crates/interleavings/tests/lane.rs
+++ b/crates/interleavings/tests/lane.rs
@@ -9,7 +9,7 @@
 
 use lane::{Came, Way, read_in, write_out};
 use sync::checker::{Plant, caught, check};
-use sync::{Arc, Condvar, Giver, Mutex, Taker, handover, lock, planted, thread, wait};
+use sync::{Arc, Condvar, Mutex, QueueReceiver, QueueSender, lock, planted, queue, thread, wait};
 
 /// The connection, as the system keeps it.
 #[derive(Debug, Default)]
@@ -70,20 +70,20 @@
 /// A connection as the mesh's thread has it.
 struct Connection {
     socket: Arc<Socket>,
-    pieces: Giver<Vec<u8>>,
-    came: Taker<Came>,
+    pieces: QueueSender<Vec<u8>>,
+    came: QueueReceiver<Came>,
     threads: [thread::JoinHandle<()>; 2],
 }
 
 impl Connection {
     fn open(line: Line) -> Connection {
         let socket = Arc::new(Socket { line: Mutex::new(line), changed: Condvar::new() });
-        let (pieces, given) = handover();
-        let (tells, came) = handover();
+        let (pieces, given) = queue();
+        let (tells, came) = queue();
         let tells = Arc::new(tells);
         let (reads, writes, told) = (socket.clone(), socket.clone(), tells.clone());
-        let reader = thread::spawn(move || read_in(&*reads, |came| told.give(came)));
-        let writer = thread::spawn(move || write_out(&*writes, &given, |came| tells.give(came)));
+        let reader = thread::spawn(move || read_in(&*reads, |came| told.send(came)));
+        let writer = thread::spawn(move || write_out(&*writes, &given, |came| tells.send(came)));
         Connection { socket, pieces, came, threads: [reader, writer] }
     }
 
@@ -92,7 +92,7 @@
         drop(self.pieces);
         self.threads.into_iter().for_each(|thread| thread.join().expect("it ended"));
         let mut all = Vec::new();
-        while let Some(came) = self.came.take() {
+        while let Some(came) = self.came.receive() {
             all.push(came);
         }
         (self.socket, all)
@@ -113,8 +113,8 @@
 /// The mesh gives two pieces and closes.
 fn given_and_closed() {
     let connection = Connection::open(Line::default());
-    assert!(connection.pieces.give(b"ab".to_vec()));
-    assert!(connection.pieces.give(b"c".to_vec()));
+    assert!(connection.pieces.send(b"ab".to_vec()));
+    assert!(connection.pieces.send(b"c".to_vec()));
     let (socket, told) = connection.close();
     judge(&socket, &told);
     assert_eq!(lock(&socket.line).outbound, b"abc", "what was given before the close was not written");
@@ -127,10 +127,10 @@
     let socket = connection.socket.clone();
     let peer = thread::spawn(move || socket.end());
     // A writer that has ended has told of it: whether this was taken does not matter.
-    connection.pieces.give(b"ab".to_vec());
+    connection.pieces.send(b"ab".to_vec());
     let mut early = Vec::new();
     while early.last() != Some(&Came::Ended) {
-        early.push(connection.came.take().expect("the end is told"));
+        early.push(connection.came.receive().expect("the end is told"));
     }
     peer.join().expect("it went");
     let (socket, late) = connection.close();
@@ -141,7 +141,7 @@
 /// The peer stands still with its buffers full; the mesh closes.
 fn the_peer_is_stuck() {
     let connection = Connection::open(Line { stuck: true, ..Line::default() });
-    connection.pieces.give(b"ab".to_vec());
+    connection.pieces.send(b"ab".to_vec());
     let (socket, told) = connection.close();
     judge(&socket, &told);
     assert_eq!(told, [Came::Ended]);
@@ -150,8 +150,8 @@
 /// The peer's line breaks under the writer while the mesh waits to hear of it.
 fn the_line_breaks() {
     let connection = Connection::open(Line { stuck: true, ..Line::default() });
-    connection.pieces.give(b"ab".to_vec());
-    assert_eq!(connection.came.take(), Some(Came::Ended), "it is told that the connection ended");
+    connection.pieces.send(b"ab".to_vec());
+    assert_eq!(connection.came.receive(), Some(Came::Ended), "it is told that the connection ended");
     connection.close();
 }
 
--- a/crates/interleavings/tests/outbox.rs
+++ b/crates/interleavings/tests/outbox.rs
@@ -9,7 +9,7 @@
 
 use outbox::{Outbox, Piece};
 use sync::checker::{Plant, caught, check};
-use sync::{Arc, Published, handover, thread};
+use sync::{Arc, Published, queue, thread};
 
 /// More updates than may wait.
 const MANY: u8 = 65;
@@ -78,10 +78,10 @@
 fn settled(is_gone: bool) {
     let site = Site::new();
     let own = site.clone();
-    let (wrote, written) = handover();
+    let (wrote, written) = queue();
     let writer = thread::spawn(move || {
         while let Some(Piece::Bytes(bytes)) = own.outbox.next(&own.view) {
-            wrote.give(bytes);
+            wrote.send(bytes);
             if is_gone {
                 // Its write fails, and it ends.
                 return;
@@ -97,7 +97,7 @@
     });
     site.outbox.answer(Some(b"a".to_vec()));
     site.outbox.settle(Instant::now() + Duration::from_secs(3600));
-    let is_written = written.take() == Some(b"a".to_vec());
+    let is_written = written.receive() == Some(b"a".to_vec());
     assert!(is_written || is_gone, "it left before its answer was written");
     reader.join().expect("it read");
     site.outbox.close();
--- a/crates/interleavings/tests/owed.rs
+++ b/crates/interleavings/tests/owed.rs
@@ -45,17 +45,17 @@
 /// What was owed when the wait began is written when it ends.
 fn waited_for() {
     let (owed, written) = (Arc::new(Owed::default()), Arc::new(Mutex::new(false)));
-    let (reads, read) = sync::handover();
+    let (reads, read) = sync::queue();
     let converses = thread::spawn({
         let (owed, written) = (owed.clone(), written.clone());
         move || {
             let owing = owed.owe();
-            reads.give(());
+            reads.send(());
             *lock(&written) = true;
             drop(owing);
         }
     });
-    read.take().expect("the request was read");
+    read.receive().expect("the request was read");
     assert!(owed.settle(WITHIN));
     assert!(*lock(&written), "it left before its answer was written");
     converses.join().expect("it answered");
--- a/crates/interleavings/tests/wake.rs
+++ b/crates/interleavings/tests/wake.rs
@@ -12,20 +12,20 @@
 
 use records::Micros;
 use sync::checker::{Plant, caught, check};
-use sync::{Arc, Giver, Taker, handover, planted, thread};
+use sync::{Arc, QueueReceiver, QueueSender, planted, queue, thread};
 use wake::{MAX_SLEEP, REPEAT_INTERVAL, Wake};
 
 /// Sets and stops as `Ticker` does.
 struct Ticker {
     wake: Arc<Wake>,
     thread: thread::JoinHandle<()>,
-    ticks: Taker<Micros>,
+    ticks: QueueReceiver<Micros>,
 }
 
 impl Ticker {
     /// `passes`: time passes until then, and no further.
     fn start(passes: Micros) -> Ticker {
-        let (wake, (ticked, ticks)) = (Arc::new(Wake::new()), handover());
+        let (wake, (ticked, ticks)) = (Arc::new(Wake::new()), queue());
         let own = wake.clone();
         let thread = thread::spawn(move || keep(&own, &ticked, passes));
         Ticker { wake, thread, ticks }
@@ -47,11 +47,11 @@
     }
 }
 
-fn keep(wake: &Wake, ticked: &Giver<Micros>, passes: Micros) {
+fn keep(wake: &Wake, ticked: &QueueSender<Micros>, passes: Micros) {
     // The thread's own: only it reads the clock.
     let clock = AtomicI64::new(0);
     let now = || clock.load(Ordering::Relaxed);
-    let tick = || assert!(ticked.give(now()), "nobody takes the tick");
+    let tick = || assert!(ticked.send(now()), "nobody takes the tick");
     let sleep = |span: Micros| {
         assert!((1..=MAX_SLEEP).contains(&span), "it would sleep for {span}");
         if now() + span <= passes {
@@ -67,7 +67,7 @@
 fn due_at_once() {
     let ticker = Ticker::start(0);
     ticker.due(0);
-    assert_eq!(ticker.ticks.take(), Some(0));
+    assert_eq!(ticker.ticks.receive(), Some(0));
     ticker.stop();
 }
 
@@ -75,10 +75,10 @@
 fn due_again() {
     let ticker = Ticker::start(0);
     ticker.due(0);
-    assert_eq!(ticker.ticks.take(), Some(0));
+    assert_eq!(ticker.ticks.receive(), Some(0));
     ticker.due(Micros::MAX);
     ticker.due(0);
-    assert_eq!(ticker.ticks.take(), Some(0));
+    assert_eq!(ticker.ticks.receive(), Some(0));
     ticker.stop();
 }
 
@@ -87,7 +87,7 @@
     let ticker = Ticker::start(50);
     ticker.due(MAX_SLEEP * 2);
     ticker.due(50);
-    let at = ticker.ticks.take();
+    let at = ticker.ticks.receive();
     assert_eq!(at, Some(50), "it ticked at {at:?}");
     ticker.stop();
 }
@@ -96,8 +96,8 @@
 fn not_handled() {
     let ticker = Ticker::start(REPEAT_INTERVAL);
     ticker.due(0);
-    assert_eq!(ticker.ticks.take(), Some(0));
-    assert_eq!(ticker.ticks.take(), Some(REPEAT_INTERVAL));
+    assert_eq!(ticker.ticks.receive(), Some(0));
+    assert_eq!(ticker.ticks.receive(), Some(REPEAT_INTERVAL));
     ticker.due(Micros::MAX);
     ticker.stop();
 }
--- a/crates/peerlink/src/lane.rs
+++ b/crates/peerlink/src/lane.rs
@@ -7,7 +7,7 @@
 
 use std::io;
 
-use sync::{Taker, planted};
+use sync::{QueueReceiver, planted};
 
 /// Bytes read at a time.
 const READ: usize = 16 << 10;
@@ -55,8 +55,8 @@
 }
 
 /// Writes what is given, until there is no more or the connection breaks; then ends it, so that its reader tells.
-pub(crate) fn write_out(way: &impl Way, pieces: &Taker<Vec<u8>>, tell: impl Fn(Came) -> bool) {
-    while let Some(bytes) = pieces.take() {
+pub(crate) fn write_out(way: &impl Way, pieces: &QueueReceiver<Vec<u8>>, tell: impl Fn(Came) -> bool) {
+    while let Some(bytes) = pieces.receive() {
         if planted!(TakenFirst) {
             tell(Came::Taken(bytes.len()));
         }
--- a/crates/peerlink/src/peers.rs
+++ b/crates/peerlink/src/peers.rs
@@ -12,7 +12,7 @@
 
 use peer::{Conn, Input, Kind, Life, Mesh, MeshOptions, Micros, Output, PeerName, Told};
 use records::Clock;
-use sync::Giver;
+use sync::QueueSender;
 
 use crate::lane::{self, Came, Way};
 use crate::lives::{Keep, LifeError};
@@ -170,7 +170,7 @@
     clock: Clock,
     addresses: BTreeMap<PeerName, SocketAddr>,
     /// The writer's inbox, and the socket to end.
-    connections: BTreeMap<Conn, (Giver<Vec<u8>>, Arc<TcpStream>)>,
+    connections: BTreeMap<Conn, (QueueSender<Vec<u8>>, Arc<TcpStream>)>,
     next: u64,
     events: Sender<Event>,
     tell: Box<dyn Fn(Told) + Send>,
@@ -249,7 +249,7 @@
                 Output::Write(conn, bytes) => {
                     if let Some((writer, _)) = self.connections.get(conn) {
                         // A writer that has ended has told of it.
-                        writer.give(bytes.clone());
+                        writer.send(bytes.clone());
                     }
                 }
                 Output::Close(conn) => {
@@ -297,7 +297,7 @@
         // Danger: a peer that takes nothing holds the writer, and with it both threads and the descriptor, long after the mesh has
         // given the connection up. Harm: a peer that stands still for so long with its buffers full has to be dialled again.
         stream.set_write_timeout(Some(STUCK))?;
-        let (writer, pieces) = sync::handover();
+        let (writer, pieces) = sync::queue();
         let (told, taken) = (self.events.clone(), self.events.clone());
         let stream = Arc::new(stream);
         let (reads, writes) = (stream.clone(), stream.clone());
@@ -342,9 +342,9 @@
         let peer = TcpStream::connect(listener.local_addr().expect("its address")).expect("it connects");
         let stream = listener.accept().expect("it is accepted").0;
         stream.set_write_timeout(Some(Duration::from_millis(20))).expect("a time for writes");
-        let (pieces, given) = sync::handover();
+        let (pieces, given) = sync::queue();
         // More than the system takes for a peer that does not read.
-        pieces.give(vec![0; 64 << 20]);
+        pieces.send(vec![0; 64 << 20]);
         let (tell, told) = mpsc::channel();
         thread::scope(|scope| {
             let (reads, tells) = (&stream, tell.clone());
--- a/crates/sync/src/lib.rs
+++ b/crates/sync/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`Arc`], [`Mutex`], [`Condvar`], [`atomic`], [`thread`]: as in `std`.
 //! - [`Published`]: a snapshot that one thread replaces and others read.
-//! - [`handover`]: a queue that hands items from one thread to another, in order, until either end is gone.
+//! - [`queue`]: a queue that hands items from one thread to another, in order, until either end is gone.
 //!
 //! This crate contains no scheduler and no clock: timeouts are only a fallback, which the checker ignores (a
 //! wait that only its timeout would end is a deadlock there). The crate `interleavings` compiles this same
@@ -35,11 +35,11 @@
 
 #[cfg(loom)]
 pub mod checker;
-mod handover;
 mod published;
+mod queue;
 
-pub use handover::{Giver, Taker, handover};
 pub use published::{Published, Snapshot};
+pub use queue::{QueueReceiver, QueueSender, queue};
 
 #[cfg(loom)]
 pub use loom::sync::{Arc, Condvar, Mutex, MutexGuard};
