--- a/crates/appliance/src/outbox.rs
+++ b/crates/appliance/src/outbox.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use sync::{Condvar, Mutex, MutexGuard, Published, Snapshot, lock, planted, wait, wait_for};
+use sync::{Condvar, Mutex, MutexGuard, Published, Snapshot, injected, lock, wait, wait_timeout};
 
 /// Updates that wait for a console; one more, and it gets a fresh snapshot in place of them all.
 const BACKLOG: usize = 64;
@@ -80,7 +80,7 @@
             return;
         }
         let is_in = view.number() + 1;
-        if planted!(SnapshotStale) && state.behind.is_some() {
+        if injected!(UpdateDroppedForSnapshot) && state.behind.is_some() {
             return;
         }
         if state.updates.len() >= BACKLOG {
@@ -113,7 +113,7 @@
             if left.is_zero() {
                 return;
             }
-            state = wait_for(&self.changed, state, left);
+            state = wait_timeout(&self.changed, state, left);
         }
     }
 
@@ -134,7 +134,7 @@
                 Some(least) if least <= view.number() => {
                     state.behind = None;
                     let whole = view.latest();
-                    if !planted!(UpdateTwice) {
+                    if !injected!(UpdateAfterSnapshot) {
                         state.updates.retain(|(is_in, _)| *is_in > whole.number());
                     }
                     return Some(Piece::Whole(whole));
--- a/crates/control/src/owed.rs
+++ b/crates/control/src/owed.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sync::{Condvar, Mutex, lock, planted, wait_for};
+use sync::{Condvar, Mutex, injected, lock, wait_timeout};
 
 /// Requests that were read and whose answers are not written yet.
 #[derive(Default)]
@@ -30,7 +30,7 @@
             if left.is_zero() {
                 return false;
             }
-            count = wait_for(&self.none, count, left);
+            count = wait_timeout(&self.none, count, left);
         }
         true
     }
@@ -40,7 +40,7 @@
     fn drop(&mut self) {
         let mut count = lock(&self.0.count);
         *count -= 1;
-        if *count == 0 && !planted!(PaidUnsaid) {
+        if *count == 0 && !injected!(PaidWithoutWake) {
             self.0.none.notify_all();
         }
     }
--- a/crates/gateway/src/journal_writer.rs
+++ b/crates/gateway/src/journal_writer.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Display;
 
-use sync::{QueueReceiver, planted};
+use sync::{QueueReceiver, injected};
 
 /// A job for the journal thread.
 pub(crate) enum Job {
@@ -41,7 +41,7 @@
         for job in group {
             match job {
                 Job::Append(sequence, records) => {
-                    if planted!(AckLast) {
+                    if injected!(AckLastOnly) {
                         sequences.clear();
                     }
                     sequences.extend((sequence > 0).then_some(sequence));
@@ -53,7 +53,7 @@
                 }
             }
         }
-        if planted!(AckBeforeSync) {
+        if injected!(AckBeforeSync) {
             acknowledge(std::mem::take(&mut sequences), None);
         }
         let error = result.and_then(|()| store.sync()).err().map(|e| e.to_string());
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -1,7 +1,7 @@
 //! Registration of a new connection with the engine, after the gate has admitted it.
 
 use limits::{ConnectionId, Gate};
-use sync::{Mutex, lock, planted};
+use sync::{Mutex, injected, lock};
 
 /// Registers a connection by calling `register_connection`. Returns whether the connection may continue.
 ///
@@ -10,7 +10,7 @@
 /// without a limit. Therefore the gate is checked after the registration: if the connection is still admitted
 /// then, any eviction message follows the registration and finds the connection.
 pub(crate) fn register(gate: &Mutex<Gate>, id: ConnectionId, register_connection: impl FnOnce()) -> bool {
-    if planted!(HeldFirst) {
+    if injected!(CheckBeforeRegister) {
         let is_admitted = lock(gate).holds(id);
         register_connection();
         return is_admitted;
--- a/crates/interleavings/tests/entry.rs
+++ b/crates/interleavings/tests/entry.rs
@@ -10,7 +10,7 @@
 
 use limits::{ConnectionId, Gate, GateOptions, Opened};
 use registration::register;
-use sync::checker::{Plant, caught, check};
+use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Mutex, lock, queue, thread};
 
 /// What the engine is told.
@@ -71,5 +71,5 @@
 
 #[test]
 fn one_that_looks_before_it_is_known_is_caught() {
-    caught(Plant::HeldFirst, "was left open", None, given_way);
+    assert_detected(Fault::CheckBeforeRegister, "was left open", None, given_way);
 }
--- a/crates/interleavings/tests/handover.rs
+++ b/crates/interleavings/tests/handover.rs
@@ -1,6 +1,6 @@
 //! Things are given, taken and ended by two threads.
 
-use interleavings::checker::{Plant, caught, check};
+use interleavings::checker::{Fault, assert_detected, check};
 use interleavings::{Arc, Mutex, lock, queue, thread};
 
 fn given_and_ended() {
@@ -63,11 +63,11 @@
 
 #[test]
 fn a_wake_up_that_is_lost_is_caught() {
-    caught(Plant::GivenUnsaid, "deadlock", None, given_to_one_that_goes);
-    caught(Plant::EndUnsaid, "deadlock", None, given_and_ended);
+    assert_detected(Fault::SendWithoutWake, "deadlock", None, given_to_one_that_goes);
+    assert_detected(Fault::DropWithoutWake, "deadlock", None, given_and_ended);
 }
 
 #[test]
 fn an_end_before_what_was_given_is_caught() {
-    caught(Plant::EndFirst, "was not taken", None, given_and_ended);
+    assert_detected(Fault::EndBeforeItems, "was not taken", None, given_and_ended);
 }
--- a/crates/interleavings/tests/journal.rs
+++ b/crates/interleavings/tests/journal.rs
@@ -6,7 +6,7 @@
 mod journal_writer;
 
 use journal_writer::{Job, RecordStore, run};
-use sync::checker::{Plant, caught, check};
+use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Mutex, lock, queue, thread};
 
 /// The disk, as whoever reads it after a cut of power finds it.
@@ -151,10 +151,10 @@
 
 #[test]
 fn an_acknowledgement_before_the_groups_write_is_caught() {
-    caught(Plant::AckBeforeSync, "before it was durable", None, || kept(None));
+    assert_detected(Fault::AckBeforeSync, "before it was durable", None, || kept(None));
 }
 
 #[test]
 fn a_group_of_which_only_the_last_is_acknowledged_is_caught() {
-    caught(Plant::AckLast, "acknowledged once", None, || kept(None));
+    assert_detected(Fault::AckLastOnly, "acknowledged once", None, || kept(None));
 }
--- a/crates/interleavings/tests/lane.rs
+++ b/crates/interleavings/tests/lane.rs
@@ -8,8 +8,8 @@
 use std::io;
 
 use lane::{Came, Way, read_in, write_out};
-use sync::checker::{Plant, caught, check};
-use sync::{Arc, Condvar, Mutex, QueueReceiver, QueueSender, lock, planted, queue, thread, wait};
+use sync::checker::{Fault, assert_detected, check};
+use sync::{Arc, Condvar, Mutex, QueueReceiver, QueueSender, injected, lock, queue, thread, wait};
 
 /// The connection, as the system keeps it.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     fn write_all(&self, bytes: &[u8]) -> io::Result<()> {
         let mut line = lock(&self.line);
         while line.stuck && !line.ended {
-            if !planted!(NoWriteTimeout) {
+            if !injected!(NoWriteTimeout) {
                 return Err(io::ErrorKind::WouldBlock.into());
             }
             line = wait(&self.changed, line);
@@ -165,15 +165,15 @@
 
 #[test]
 fn a_writer_that_ends_without_telling_is_caught() {
-    caught(Plant::WriterSilent, "deadlock", Some(2), the_line_breaks);
+    assert_detected(Fault::WriterFailureUnreported, "deadlock", Some(2), the_line_breaks);
 }
 
 #[test]
 fn taken_before_it_is_written_is_caught() {
-    caught(Plant::TakenFirst, "not what was written", Some(2), the_peer_is_stuck);
+    assert_detected(Fault::TakenBeforeWritten, "not what was written", Some(2), the_peer_is_stuck);
 }
 
 #[test]
 fn a_write_that_waits_for_ever_is_caught() {
-    caught(Plant::NoWriteTimeout, "deadlock", Some(2), the_peer_is_stuck);
+    assert_detected(Fault::NoWriteTimeout, "deadlock", Some(2), the_peer_is_stuck);
 }
--- a/crates/interleavings/tests/outbox.rs
+++ b/crates/interleavings/tests/outbox.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use outbox::{Outbox, Piece};
-use sync::checker::{Plant, caught, check};
+use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Published, queue, thread};
 
 /// More updates than may wait.
@@ -118,10 +118,10 @@
 
 #[test]
 fn an_update_missing_in_the_snapshot_is_caught() {
-    caught(Plant::SnapshotStale, "deadlock", Some(3), subscribed);
+    assert_detected(Fault::UpdateDroppedForSnapshot, "deadlock", Some(3), subscribed);
 }
 
 #[test]
 fn an_update_behind_a_snapshot_that_it_is_in_is_caught() {
-    caught(Plant::UpdateTwice, "missing or doubled", Some(3), subscribed);
+    assert_detected(Fault::UpdateAfterSnapshot, "missing or doubled", Some(3), subscribed);
 }
--- a/crates/interleavings/tests/owed.rs
+++ b/crates/interleavings/tests/owed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use owed::Owed;
-use sync::checker::{Plant, caught, check};
+use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Mutex, lock, thread};
 
 /// Longer than any check; its end is a deadlock.
@@ -69,5 +69,5 @@
 
 #[test]
 fn an_answer_written_unsaid_is_caught() {
-    caught(Plant::PaidUnsaid, "deadlock", None, waited_for);
+    assert_detected(Fault::PaidWithoutWake, "deadlock", None, waited_for);
 }
--- a/crates/interleavings/tests/published.rs
+++ b/crates/interleavings/tests/published.rs
@@ -1,6 +1,6 @@
 //! A snapshot is published while it is read.
 
-use interleavings::checker::{Plant, caught, check};
+use interleavings::checker::{Fault, assert_detected, check};
 use interleavings::{Arc, Published, thread};
 
 /// A value of two parts that belong to its number.
@@ -52,5 +52,5 @@
 
 #[test]
 fn a_publish_in_two_steps_is_caught() {
-    caught(Plant::NumberFirst, "another's number", Some(3), one_publishes_while_two_read);
+    assert_detected(Fault::NumberFirst, "another's number", Some(3), one_publishes_while_two_read);
 }
--- a/crates/interleavings/tests/spill.rs
+++ b/crates/interleavings/tests/spill.rs
@@ -10,7 +10,7 @@
 
 use gather::{GatherList, PduSink};
 use send_buffer::{SendBuffer, WriteSide};
-use sync::checker::{Plant, caught, check};
+use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Mutex, MutexGuard, lock, thread};
 
 /// What the peer sees of the socket.
@@ -263,20 +263,20 @@
 
 #[test]
 fn what_is_kept_after_a_close_is_caught() {
-    caught(Plant::SpillAfterClose, "kept after the close", None, appended_after);
+    assert_detected(Fault::AppendAfterClose, "kept after the close", None, appended_after);
 }
 
 #[test]
 fn what_is_written_by_two_is_caught() {
-    caught(Plant::TwoWriters, "once and in order", Some(3), || pushed_and_finished(Shutdown::Both));
+    assert_detected(Fault::TwoWriters, "once and in order", Some(3), || pushed_and_finished(Shutdown::Both));
 }
 
 #[test]
 fn a_finish_that_drops_the_rest_is_caught() {
-    caught(Plant::FinishDrops, "once and in order", None, || finished_between(Shutdown::Write));
+    assert_detected(Fault::FinishDropsData, "once and in order", None, || finished_between(Shutdown::Write));
 }
 
 #[test]
 fn a_cut_that_is_forgotten_is_caught() {
-    caught(Plant::CutForgotten, "it was not cut", None, broken);
+    assert_detected(Fault::CutNotRecorded, "it was not cut", None, broken);
 }
--- a/crates/interleavings/tests/wake.rs
+++ b/crates/interleavings/tests/wake.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 
 use records::Micros;
-use sync::checker::{Plant, caught, check};
-use sync::{Arc, QueueReceiver, QueueSender, planted, queue, thread};
+use sync::checker::{Fault, assert_detected, check};
+use sync::{Arc, QueueReceiver, QueueSender, injected, queue, thread};
 use wake::{MAX_SLEEP, REPEAT_INTERVAL, Wake};
 
 /// Sets and stops as `Ticker` does.
@@ -40,7 +40,7 @@
     /// Stops it, and waits until it has ended.
     fn stop(self) {
         self.wake.stop();
-        if !planted!(StopUnsaid) {
+        if !injected!(StopWithoutWake) {
             self.thread.thread().unpark();
         }
         self.thread.join().expect("it ended");
@@ -116,13 +116,13 @@
 
 #[test]
 fn a_lost_wake_up_is_caught() {
-    caught(Plant::DueMissed, "deadlock", Some(3), due_at_once);
-    caught(Plant::NoFence, "deadlock", Some(3), due_at_once);
+    assert_detected(Fault::DueNotRechecked, "deadlock", Some(3), due_at_once);
+    assert_detected(Fault::NoFence, "deadlock", Some(3), due_at_once);
 }
 
 #[test]
 fn a_stop_that_wakes_nobody_is_caught() {
-    caught(Plant::StopUnsaid, "deadlock", None, || Ticker::start(0).stop());
+    assert_detected(Fault::StopWithoutWake, "deadlock", None, || Ticker::start(0).stop());
 }
 
 #[test]
--- a/crates/peerlink/src/lane.rs
+++ b/crates/peerlink/src/lane.rs
@@ -7,7 +7,7 @@
 
 use std::io;
 
-use sync::{QueueReceiver, planted};
+use sync::{QueueReceiver, injected};
 
 /// Bytes read at a time.
 const READ: usize = 16 << 10;
@@ -57,16 +57,16 @@
 /// Writes what is given, until there is no more or the connection breaks; then ends it, so that its reader tells.
 pub(crate) fn write_out(way: &impl Way, pieces: &QueueReceiver<Vec<u8>>, tell: impl Fn(Came) -> bool) {
     while let Some(bytes) = pieces.receive() {
-        if planted!(TakenFirst) {
+        if injected!(TakenBeforeWritten) {
             tell(Came::Taken(bytes.len()));
         }
         if way.write_all(&bytes).is_err() {
-            if planted!(WriterSilent) {
+            if injected!(WriterFailureUnreported) {
                 return;
             }
             break;
         }
-        if !planted!(TakenFirst) {
+        if !injected!(TakenBeforeWritten) {
             tell(Came::Taken(bytes.len()));
         }
     }
--- a/crates/sync/src/checker.rs
+++ b/crates/sync/src/checker.rs
@@ -8,48 +8,48 @@
 
 /// A fault injected for the duration of one check. Product code refers to it only under `cfg(loom)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Fault {
     /// A snapshot is published in two steps, its number first.
     NumberFirst,
     /// Giving an item does not wake the taker.
-    GivenUnsaid,
+    SendWithoutWake,
     /// Dropping the giver does not wake the taker.
-    EndUnsaid,
+    DropWithoutWake,
     /// The end is checked before the remaining items.
-    EndFirst,
+    EndBeforeItems,
     /// A write to a peer that accepts nothing waits without a timeout.
     NoWriteTimeout,
     /// A failed writer ends without reporting it.
-    WriterSilent,
+    WriterFailureUnreported,
     /// Bytes are reported as taken before they are written.
-    TakenFirst,
+    TakenBeforeWritten,
     /// Data appended after a close is kept.
-    SpillAfterClose,
+    AppendAfterClose,
     /// A second writer is started while one is running.
     TwoWriters,
     /// A connection is finished with unwritten data.
-    FinishDrops,
+    FinishDropsData,
     /// A writer's failure is not recorded as a cut.
-    CutForgotten,
+    CutNotRecorded,
     /// The ticker does not check the due time again after publishing how long it sleeps, and its user does
     /// not wake it.
-    DueMissed,
+    DueNotRechecked,
     /// Due time and sleep time are written and read without a fence in between.
     NoFence,
     /// Stopping the ticker does not wake it.
-    StopUnsaid,
+    StopWithoutWake,
     /// Records are acknowledged before their group is durable.
     AckBeforeSync,
     /// Of each group only the last record is acknowledged.
-    AckLast,
+    AckLastOnly,
     /// A connection checks whether it is admitted before it is registered.
-    HeldFirst,
+    CheckBeforeRegister,
     /// A written answer is accounted for without waking the thread that waits for it.
-    PaidUnsaid,
+    PaidWithoutWake,
     /// An update is dropped because a snapshot is due, although the snapshot may predate the update.
-    SnapshotStale,
+    UpdateDroppedForSnapshot,
     /// An update follows a snapshot that already contains it.
-    UpdateTwice,
+    UpdateAfterSnapshot,
 }
 
 /// Environment variable that names the fault to inject in a test's child process.
@@ -57,13 +57,13 @@
 
 thread_local! {
     /// All threads of a check are coroutines of the one thread that runs it.
-    static PLANTED: Cell<Option<Plant>> = const { Cell::new(None) };
+    static INJECTED_FAULT: Cell<Option<Fault>> = const { Cell::new(None) };
 }
 
-impl Plant {
+impl Fault {
     /// Whether this fault is injected in the current check.
-    pub fn is_set(self) -> bool {
-        PLANTED.get() == Some(self)
+    pub fn is_injected(self) -> bool {
+        INJECTED_FAULT.get() == Some(self)
     }
 }
 
@@ -91,17 +91,17 @@
 /// # Panics
 ///
 /// The fault was not found, or something else was.
-pub fn caught(
-    plant: Plant,
+pub fn assert_detected(
+    fault: Fault,
     expected: &str,
     preemptions: Option<usize>,
     run: impl Fn() + Send + Sync + 'static,
 ) {
-    let name = format!("{plant:?}");
+    let name = format!("{fault:?}");
     match std::env::var(FAULT_VARIABLE) {
         Ok(other) if other != name => {}
         Ok(_) => {
-            PLANTED.set(Some(plant));
+            INJECTED_FAULT.set(Some(fault));
             check(preemptions, run);
             std::process::exit(0);
         }
--- a/crates/sync/src/lib.rs
+++ b/crates/sync/src/lib.rs
@@ -13,22 +13,22 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// Whether a fault of `checker::Plant` is injected, in code that is checked. In the product it expands to
+/// Whether a fault of `checker::Fault` is injected, in code that is checked. In the product it expands to
 /// `false`.
 #[cfg(loom)]
 #[macro_export]
-macro_rules! planted {
-    ($plant:ident) => {
-        $crate::checker::Plant::$plant.is_set()
+macro_rules! injected {
+    ($fault:ident) => {
+        $crate::checker::Fault::$fault.is_injected()
     };
 }
 
-/// Whether a fault of `checker::Plant` is injected, in code that is checked. In the product it expands to
+/// Whether a fault of `checker::Fault` is injected, in code that is checked. In the product it expands to
 /// `false`.
 #[cfg(not(loom))]
 #[macro_export]
-macro_rules! planted {
-    ($plant:ident) => {
+macro_rules! injected {
+    ($fault:ident) => {
         false
     };
 }
@@ -78,6 +78,6 @@
 
 /// Waits for a notification or until the timeout; may wake spuriously. Under the checker the timeout never
 /// expires.
-pub fn wait_for<'a, T>(condvar: &Condvar, guard: MutexGuard<'a, T>, time: Duration) -> MutexGuard<'a, T> {
+pub fn wait_timeout<'a, T>(condvar: &Condvar, guard: MutexGuard<'a, T>, time: Duration) -> MutexGuard<'a, T> {
     condvar.wait_timeout(guard, time).unwrap_or_else(|poisoned| poisoned.into_inner()).0
 }
--- a/crates/sync/src/published.rs
+++ b/crates/sync/src/published.rs
@@ -56,7 +56,7 @@
     /// Replaces the value and returns the number of the new one.
     pub fn publish(&self, value: T) -> u64 {
         let value = Arc::new(value);
-        if planted!(NumberFirst) {
+        if injected!(NumberFirst) {
             let number = self.number() + 1;
             lock(&self.current).number = number;
             self.number.store(number, Ordering::Release);
--- a/crates/sync/src/queue.rs
+++ b/crates/sync/src/queue.rs
@@ -44,7 +44,7 @@
         }
         state.items.push_back(item);
         drop(state);
-        if !planted!(GivenUnsaid) {
+        if !injected!(SendWithoutWake) {
             self.0.changed.notify_one();
         }
         true
@@ -54,7 +54,7 @@
 impl<T> Drop for QueueSender<T> {
     fn drop(&mut self) {
         lock(&self.0.state).sender_dropped = true;
-        if !planted!(EndUnsaid) {
+        if !injected!(DropWithoutWake) {
             self.0.changed.notify_one();
         }
     }
@@ -74,7 +74,7 @@
     fn wait_for_items<R>(&self, take: impl FnOnce(&mut VecDeque<T>) -> Option<R>) -> Option<R> {
         let mut state = lock(&self.0.state);
         loop {
-            if !(state.items.is_empty() || state.sender_dropped && planted!(EndFirst)) {
+            if !(state.items.is_empty() || state.sender_dropped && injected!(EndBeforeItems)) {
                 return take(&mut state.items);
             }
             if state.sender_dropped {
--- a/crates/transport/src/send_buffer.rs
+++ b/crates/transport/src/send_buffer.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use gather::GatherList;
-use sync::{Mutex, MutexGuard, lock, planted};
+use sync::{Mutex, MutexGuard, injected, lock};
 
 /// The socket as the buffer sees it. No operation blocks.
 pub(crate) trait WriteSide {
@@ -81,7 +81,7 @@
     /// Buffers bytes until the next flush. Returns whether a flush is needed.
     pub(crate) fn append(&self, write: impl FnOnce(&mut GatherList)) -> bool {
         let mut state = self.state();
-        if (state.closed || state.shutdown_when_written.is_some()) && !planted!(SpillAfterClose) {
+        if (state.closed || state.shutdown_when_written.is_some()) && !injected!(AppendAfterClose) {
             return false;
         }
         let was_empty = state.pending.is_empty();
@@ -97,7 +97,7 @@
     /// which calls `next_chunk`; `start` is called under the lock and must not block.
     pub(crate) fn flush(&self, start: impl FnOnce() -> io::Result<()>) {
         let mut state = self.state();
-        if state.closed || (state.writing && !planted!(TwoWriters)) {
+        if state.closed || (state.writing && !injected!(TwoWriters)) {
             return;
         }
         match self.socket.write_now(&mut state.pending) {
@@ -136,7 +136,7 @@
             // Data that was appended but not flushed yet, and that the socket does not accept immediately,
             // would be lost with the shutdown; it gets a writer like any remainder.
             match self.socket.write_now(&mut state.pending) {
-                Ok(()) if state.pending.is_empty() || planted!(FinishDrops) => {}
+                Ok(()) if state.pending.is_empty() || injected!(FinishDropsData) => {}
                 Ok(()) => self.start_writer(&mut state, start),
                 Err(_) => self.close_now(&mut state),
             }
@@ -187,7 +187,7 @@
     /// run. This is set only where bytes were certainly not accepted.
     pub(crate) fn writer_failed(&self) {
         let mut state = self.state();
-        state.cut |= !planted!(CutForgotten);
+        state.cut |= !injected!(CutNotRecorded);
         self.close_now(&mut state);
     }
 }
--- a/crates/transport/src/wake.rs
+++ b/crates/transport/src/wake.rs
@@ -2,7 +2,7 @@
 
 use records::Micros;
 use sync::atomic::{AtomicBool, AtomicI64, Ordering, fence};
-use sync::planted;
+use sync::injected;
 
 /// The longest sleep; anything due earlier wakes the thread.
 pub(crate) const MAX_SLEEP: Micros = 100_000;
@@ -63,14 +63,14 @@
             self.publish_sleep_end(until);
             // Checked again, because whoever set an earlier due time meanwhile may not have known when this
             // sleep ends.
-            if is_due || self.due.load(Ordering::Acquire) >= until || planted!(DueMissed) {
+            if is_due || self.due.load(Ordering::Acquire) >= until || injected!(DueNotRechecked) {
                 sleep((until - now).max(1));
             }
         }
     }
 
     fn publish_sleep_end(&self, until: Micros) {
-        if until == Micros::MAX && planted!(DueMissed) {
+        if until == Micros::MAX && injected!(DueNotRechecked) {
             return;
         }
         self.sleeps_until.store(until, Ordering::Release);
@@ -78,7 +78,7 @@
     }
 
     fn fence(&self) {
-        if !planted!(NoFence) {
+        if !injected!(NoFence) {
             fence(Ordering::SeqCst);
         }
     }
