--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -185,7 +185,7 @@
             let due = due.min(self.recovery.as_ref().map_or(Micros::MAX, RecoveryDriver::next_due));
             let due = due.min(self.coordination.as_ref().map_or(Micros::MAX, |c| c.next_due(now)));
             if due != ticker_due {
-                ticker.due(due);
+                ticker.set_due(due);
                 ticker_due = due;
             }
             if self.host_queues.is_empty() {
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -184,7 +184,7 @@
             let again = if self.starved.is_empty() { Micros::MAX } else { now + FLUSH_AGAIN };
             let due = self.machine.next_due().min(again);
             if due != told {
-                ticker.due(due);
+                ticker.set_due(due);
                 told = due;
             }
             let Ok(first) = messages.recv() else { return };
@@ -327,13 +327,13 @@
             }
             Output::Finish(socket) => {
                 if let Some(port) = self.ports.get(&socket) {
-                    port.outlet.end_writing();
+                    port.outlet.finish_writing();
                 }
             }
             Output::Part(socket) => {
                 let quiet = self.ports.get(&socket).filter(|p| p.is_quiet());
                 if let Some(port) = quiet {
-                    port.outlet.end_writing();
+                    port.outlet.finish_writing();
                 }
                 let done = quiet.is_some();
                 self.machine.parted(now, socket, done);
--- a/crates/platform/src/port.rs
+++ b/crates/platform/src/port.rs
@@ -12,7 +12,7 @@
 use nix::errno::Errno;
 use records::Clock;
 use socket2::{Domain, Protocol, Socket, Type};
-use transport::{Held, Outlet};
+use transport::{Outlet, SharedDescriptor};
 
 use crate::gateway::Message;
 use crate::socket::{End, SocketId};
@@ -52,7 +52,7 @@
 
     fn over(socket: SocketId, serial: u64, stream: TcpStream, answer: usize) -> Arc<Port> {
         let stream = Arc::new(stream);
-        let outlet = Arc::new(Outlet::retried(stream.clone(), answer + SPILL));
+        let outlet = Arc::new(Outlet::from_shared_with_owner_flushes(stream.clone(), answer + SPILL));
         let (closed, unheard) = (AtomicBool::new(false), AtomicBool::new(false));
         let (credit, waker) = (Semphore::new(0), Mutex::new(None));
         Arc::new(Port { socket, serial, stream, outlet, closed, unheard, credit, waker })
@@ -136,7 +136,7 @@
 
     /// Reads until it ends; how it did.
     fn read(&self, clock: Clock, inbox: &Sender<Message>, rising: bool) -> End {
-        let Ok(io) = CoIo::new(Held(self.stream.clone())) else { return End::Broken };
+        let Ok(io) = CoIo::new(SharedDescriptor(self.stream.clone())) else { return End::Broken };
         *self.waker.lock().unwrap_or_else(|p| p.into_inner()) = Some(io.waker());
         let (socket, serial) = (self.socket, self.serial);
         if rising {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,6 +10,6 @@
 mod ticker;
 mod wake;
 
-pub use outlet::{Held, Outlet};
+pub use outlet::{Outlet, SharedDescriptor};
 pub use thread_times::{ThreadTimes, Times};
 pub use ticker::Ticker;
--- a/crates/transport/src/outlet.rs
+++ b/crates/transport/src/outlet.rs
@@ -38,18 +38,18 @@
     ///
     /// No descriptor is left.
     pub fn new(stream: &may::net::TcpStream, limit: usize) -> io::Result<Self> {
-        Ok(Outlet::over(Arc::new(stream.inner().try_clone()?), limit))
+        Ok(Outlet::from_shared(Arc::new(stream.inner().try_clone()?), limit))
     }
 
     /// The outlet of a connection whose descriptor is shared with its reader. The socket must be
     /// non-blocking.
-    pub fn over(stream: Arc<TcpStream>, limit: usize) -> Self {
+    pub fn from_shared(stream: Arc<TcpStream>, limit: usize) -> Self {
         Outlet { send_buffer: SendBuffer::new(Socket(stream), limit) }
     }
 
-    /// Like [`Outlet::over`], for an owner that regularly flushes any outlet that [is
+    /// Like [`Outlet::from_shared`], for an owner that regularly flushes any outlet that [is
     /// starved](Outlet::is_starved).
-    pub fn retried(stream: Arc<TcpStream>, limit: usize) -> Self {
+    pub fn from_shared_with_owner_flushes(stream: Arc<TcpStream>, limit: usize) -> Self {
         Outlet { send_buffer: SendBuffer::new(Socket(stream), limit).with_owner_flushes() }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Shuts down the writing side once everything buffered so far is written. The reading side stays open.
-    pub fn end_writing(self: &Arc<Self>) {
+    pub fn finish_writing(self: &Arc<Self>) {
         self.send_buffer.shutdown_when_written(Shutdown::Write, || self.start_writer());
     }
 
@@ -106,14 +106,14 @@
         let outlet = self.clone();
         // The writer waits on a descriptor of its own, because the reader may be waiting on the other one.
         let descriptor = Arc::new(self.send_buffer.socket().0.try_clone()?);
-        let writer = CoIo::new(Held(descriptor.clone())).map_err(io::Error::from)?;
+        let writer = CoIo::new(SharedDescriptor(descriptor.clone())).map_err(io::Error::from)?;
         task::spawn("outlet", move || {
             outlet.write_pending(writer);
             drop(descriptor);
         })
     }
 
-    fn write_pending(&self, mut writer: CoIo<Held>) {
+    fn write_pending(&self, mut writer: CoIo<SharedDescriptor>) {
         while let Some(chunk) = self.send_buffer.next_chunk(CHUNK_BYTES) {
             if writer.write_all(&chunk).is_err() {
                 self.send_buffer.writer_failed();
@@ -140,15 +140,15 @@
 /// that no longer exists (seen as a crash of the process under load). Therefore a second owner keeps the
 /// descriptor open until the `CoIo` is gone.
 #[derive(Debug)]
-pub struct Held(pub Arc<TcpStream>);
+pub struct SharedDescriptor(pub Arc<TcpStream>);
 
-impl AsRawFd for Held {
+impl AsRawFd for SharedDescriptor {
     fn as_raw_fd(&self) -> RawFd {
         self.0.as_raw_fd()
     }
 }
 
-impl Write for Held {
+impl Write for SharedDescriptor {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         (&*self.0).write(bytes)
     }
--- a/crates/transport/src/ticker.rs
+++ b/crates/transport/src/ticker.rs
@@ -44,7 +44,7 @@
     }
 
     /// Sets the next due time, replacing the previous one.
-    pub fn due(&self, at: Micros) {
+    pub fn set_due(&self, at: Micros) {
         if self.wake.set_due(at) {
             self.thread.unpark();
         }
@@ -72,10 +72,10 @@
         })
         .unwrap();
         for delay in [50_000, 1000, 200, 0, 3000] {
-            ticker.due(i64::MAX);
+            ticker.set_due(i64::MAX);
             while ticks.try_recv().is_ok() {}
             let at = clock.now() + delay;
-            ticker.due(at);
+            ticker.set_due(at);
             ticks.recv_timeout(Duration::from_secs(10)).expect("a tick");
             assert!(clock.now() >= at);
         }
--- a/crates/transport/tests/outlet.rs
+++ b/crates/transport/tests/outlet.rs
@@ -16,7 +16,7 @@
     let peer = TcpStream::connect(listener.local_addr().expect("local address")).expect("connect");
     let (stream, _) = listener.accept().expect("accept");
     stream.set_nonblocking(true).expect("set non-blocking");
-    (Arc::new(Outlet::over(Arc::new(stream), LARGE + 1)), peer)
+    (Arc::new(Outlet::from_shared(Arc::new(stream), LARGE + 1)), peer)
 }
 
 #[test]
@@ -27,7 +27,7 @@
         if both {
             outlet.finish()
         } else {
-            outlet.end_writing()
+            outlet.finish_writing()
         }
         assert!(!outlet.append(|rest| rest.copy(b"late")), "an outlet accepts nothing after finish");
         let mut got = Vec::new();
