--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -83,7 +83,7 @@
     ///
     /// The address or the control socket is not available, or part of the gateway cannot be started.
     pub fn start(mut options: GatewayOptions) -> Result<Gateway, GatewayError> {
-        task::set_up();
+        task::init_runtime();
         let listener =
             TcpListener::bind(options.listen).map_err(|e| GatewayError::Listen(options.listen, e))?;
         let address = listener.local_addr().map_err(|e| GatewayError::Listen(options.listen, e))?;
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -89,7 +89,7 @@
     /// The address cannot be had, or nothing can be started.
     pub fn start(config: &Config) -> Result<Gateway, GatewayError> {
         // One core is all there is; more threads would only hand work to and fro.
-        task::set_up();
+        task::init_runtime();
         let (door, listener) =
             Door::open(config.listen).map_err(|e| GatewayError::Listen(config.listen, e))?;
         let address = door.address();
--- a/crates/platform/src/port.rs
+++ b/crates/platform/src/port.rs
@@ -232,7 +232,7 @@
 
     #[test]
     fn a_way_up_that_is_given_up_ends_where_the_system_wakes_nobody() {
-        task::set_up();
+        task::init_runtime();
         let (inbox, messages) = channel();
         let node = SocketId::Node(1);
         let port = Port::over(node, 7, deaf(), 0);
--- a/crates/task/src/lib.rs
+++ b/crates/task/src/lib.rs
@@ -7,7 +7,7 @@
 //! - Code run here holds no thread-local, no `std` lock guard, no `RefCell` borrow and no entered tracing
 //!   span across anything that waits (socket, channel, sleep). Only `may`'s own waits are used inside
 //!   coroutines.
-//! - Stacks are [`STACK`] words with a guard page below them, so that an overflow ends the process instead of
+//! - Stacks are [`STACK_WORDS`] words with a guard page below them, so that an overflow ends the process instead of
 //!   corrupting memory; the depth that the gateway needs is tested under its longest paths.
 
 #![warn(missing_docs)]
@@ -22,7 +22,7 @@
 /// Painted stacks of the optimized platform gateway were used to 1,899 words (the engine) and 245 (others). A
 /// build without optimization needs more, and 1 MiB is only address space. The cost is that 10,000
 /// connections reserve 10 GB of it.
-pub const STACK: usize = 128 * 1024;
+pub const STACK_WORDS: usize = 128 * 1024;
 
 /// Configures the runtime, once per process: one thread runs all coroutines.
 ///
@@ -31,10 +31,10 @@
 /// (docs/architecture.md): test processes died of a corrupted heap. The cost is that a process uses one core
 /// for its coroutines. Measurements show that it is not slower this way; additional gateways use additional
 /// cores.
-pub fn set_up() {
+pub fn init_runtime() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
-        may::config().set_workers(1).set_stack_size(STACK).set_worker_pin(false);
+        may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
     });
 }
 
@@ -44,7 +44,7 @@
 ///
 /// There is no memory for its stack.
 pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    let builder = may::coroutine::Builder::new().name(name.to_owned()).stack_size(STACK);
+    let builder = may::coroutine::Builder::new().name(name.to_owned()).stack_size(STACK_WORDS);
     // SAFETY: the callers in this workspace follow the rules above; `run` owns everything it uses ('static)
     // and may change threads (Send).
     #[allow(unsafe_code)]
--- a/crates/transport/tests/outlet.rs
+++ b/crates/transport/tests/outlet.rs
@@ -11,7 +11,7 @@
 const LARGE: usize = 32 << 20;
 
 fn pair() -> (Arc<Outlet>, TcpStream) {
-    task::set_up();
+    task::init_runtime();
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let peer = TcpStream::connect(listener.local_addr().expect("local address")).expect("connect");
     let (stream, _) = listener.accept().expect("accept");
