--- a/crates/crowbay/src/serve.rs
+++ b/crates/crowbay/src/serve.rs
@@ -72,13 +72,13 @@
         Some(path) => json_file(path)?,
         None => BTreeMap::new(),
     };
-    options.plane = site.follow_options(index, folder.join("control"), seed);
-    options.company = site.company_options(index, folder, &told);
-    if let Some(returning) = options.company.as_mut().and_then(|c| c.returning.as_mut()) {
-        returning.mark = args.mark;
+    options.control_plane = site.follow_options(index, folder.join("control"), seed);
+    options.peer_network = site.company_options(index, folder, &told);
+    if let Some(recovery) = options.peer_network.as_mut().and_then(|p| p.recovery.as_mut()) {
+        recovery.power_cut_mark = args.mark;
     }
-    if let Some(together) = options.company.as_mut().and_then(|c| c.together.as_mut()) {
-        together.membership.records.clone_from(&args.records);
+    if let Some(coordination) = options.peer_network.as_mut().and_then(|p| p.coordination.as_mut()) {
+        coordination.membership.records.clone_from(&args.records);
     }
     let gateway = Gateway::start(options)?;
     if args.with_parent {
--- a/crates/gateway/src/coordination.rs
+++ b/crates/gateway/src/coordination.rs
@@ -17,11 +17,11 @@
 
 /// Settings of the coordination with other gateways.
 #[derive(Clone, Debug)]
-pub struct TogetherOptions {
+pub struct CoordinationOptions {
     /// The membership view.
     pub membership: MembershipOptions,
     /// The retry cap of the fleet; without it each gateway has only its own retry budget.
-    pub repeats: Option<CapOptions>,
+    pub retry_cap: Option<CapOptions>,
     /// The candidate shard map on shadow trial.
     pub candidate: Option<ShadowOptions>,
 }
@@ -47,15 +47,15 @@
 
 impl Coordination {
     pub(crate) fn start(
-        options: TogetherOptions,
+        options: CoordinationOptions,
         peer_network: &PeerNetwork,
         folder: &Path,
         volumes: Vec<u32>,
         now: Micros,
         seed: u64,
     ) -> Result<Coordination, GatewayError> {
-        let cap_digest = options.repeats.as_ref().map_or(0, cap_settings_digest);
-        let retry_cap = options.repeats.map(|o| RetryCap::start(o, peer_network.clone(), now, seed));
+        let cap_digest = options.retry_cap.as_ref().map_or(0, cap_settings_digest);
+        let retry_cap = options.retry_cap.map(|o| RetryCap::start(o, peer_network.clone(), now, seed));
         let trial = match options.candidate {
             Some(o) => Some(ShadowTrial::start(o, peer_network.clone(), folder, now, seed)?),
             None => None,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -300,7 +300,7 @@
     fn begin_stop(&mut self, now: Micros) {
         if self.stop_deadline.is_none() {
             tracing::info!(open = self.core.open_operations(), "stopping; no new requests are accepted");
-            self.stop_deadline = Some(now + self.options.stop_within.as_micros() as Micros);
+            self.stop_deadline = Some(now + self.options.stop_timeout.as_micros() as Micros);
             self.front_end.closing.store(true, Ordering::Relaxed);
             if let Some(coordination) = &mut self.coordination {
                 coordination.begin_leaving(now);
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -124,7 +124,8 @@
         host_id[..8].copy_from_slice(&self.options.seed.to_le_bytes());
         host_id[8] = 1;
         let inbox = self.inbox.clone();
-        match NodeConnection::start(line.address, self.options.link.clone(), host, host_id, inbox) {
+        match NodeConnection::start(line.address, self.options.node_connection.clone(), host, host_id, inbox)
+        {
             Ok(connection) => {
                 self.node_connections.insert(node, connection);
             }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -72,7 +72,7 @@
     inbox: Inbox,
     front_end: Arc<FrontEnd>,
     control: Served,
-    stop_within: Duration,
+    stop_timeout: Duration,
     ended: Mutex<Option<thread_mpsc::Receiver<()>>>,
 }
 
@@ -96,16 +96,16 @@
             target: Mutex::new(Target::new(options.target.clone())),
             clock: Clock::new(),
             inbox: inbox.clone(),
-            gate: Mutex::new(Gate::new(options.gate.clone())),
-            max_unsent_bytes: options.spill,
+            gate: Mutex::new(Gate::new(options.client_limits.clone())),
+            max_unsent_bytes: options.max_unsent_bytes,
             digests: options.digests,
             closing: AtomicBool::new(false),
         });
         let mut control = Served::default();
-        if let Some(path) = options.control.clone() {
+        if let Some(path) = options.control_socket.clone() {
             control = serve_control(&path, inbox.clone()).map_err(|e| GatewayError::Control(path, e))?;
         }
-        let (name, stop_within) = (options.name.clone(), options.stop_within);
+        let (name, stop_timeout) = (options.name.clone(), options.stop_timeout);
         let ticks = inbox.clone();
         let ticker =
             Ticker::start(front_end.clock, move || ticks.send(Message::Tick)).map_err(GatewayError::Start)?;
@@ -123,7 +123,7 @@
         task::spawn("accept", move || acceptor.accept(&listener)).map_err(GatewayError::Start)?;
         tracing::info!(name, %address, "gateway up");
         let ended = Mutex::new(Some(ended));
-        Ok(Gateway { address, peer_address, view, inbox, front_end, control, stop_within, ended })
+        Ok(Gateway { address, peer_address, view, inbox, front_end, control, stop_timeout, ended })
     }
 
     /// The address on which clients connect.
@@ -161,7 +161,7 @@
     pub fn stop(&self) -> bool {
         let (done, stopped) = thread_mpsc::channel();
         self.inbox.send(Message::Stop(done));
-        let in_time = stopped.recv_timeout(self.stop_within + Duration::from_secs(2)).is_ok();
+        let in_time = stopped.recv_timeout(self.stop_timeout + Duration::from_secs(2)).is_ok();
         // Wakes the listener, so that it ends.
         let _ = std::net::TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
         // The last answers may still be leaving this process.
@@ -191,17 +191,17 @@
     inbox: &Inbox,
 ) -> Result<Subsystems, GatewayError> {
     let mut subsystems = Subsystems::default();
-    if let Some(peering) = options.company.take() {
+    if let Some(peering) = options.peer_network.take() {
         let names = peering.peers.peers.iter().map(|p| p.0.clone()).collect();
         let folder = peering.peers.folder.clone();
         let peer_network = PeerNetwork::start(peering.peers, inbox.clone())?;
-        if let Some(recovery) = &peering.returning {
+        if let Some(recovery) = &peering.recovery {
             let (catalogue, seed, now) = (&options.catalogue, options.seed, clock.now());
             let network = (peer_network.clone(), names, folder.as_path());
             subsystems.recovery =
                 Some(RecoveryDriver::start(recovery, network, catalogue, seed, now, inbox.clone())?);
         }
-        if let Some(coordination) = peering.together {
+        if let Some(coordination) = peering.coordination {
             let volumes = options.target.namespaces.iter().map(|ns| ns.nsid).collect();
             let (now, seed) = (clock.now(), options.seed);
             subsystems.coordination =
@@ -209,7 +209,7 @@
         }
         subsystems.peer_network = Some(peer_network);
     }
-    if let Some(plane) = options.plane.take() {
+    if let Some(plane) = options.control_plane.take() {
         subsystems.control_plane = Some(ControlPlane::start(plane, inbox.clone())?);
     }
     Ok(subsystems)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,11 +35,11 @@
 mod write_journal;
 
 pub use completion::{completion_of, retry_delay_index};
-pub use coordination::TogetherOptions;
+pub use coordination::CoordinationOptions;
 pub use gateway::{Gateway, GatewayError};
 pub use membership::{MembershipOptions, ViewLine};
-pub use options::{GatewayOptions, LinkOptions, NodeLine, NodeLineState, ReturnOptions};
-pub use peer_network::CompanyOptions;
+pub use options::{GatewayOptions, NodeConnectionOptions, NodeLine, NodeLineState, RecoveryDriverOptions};
+pub use peer_network::PeerNetworkOptions;
 pub use status::{
     ControlAnswer, ControlRequest, ControlStatus, EndedStatus, FleetStatus, MemberStatus, NodeFactStatus,
     NodeStatus, RegionStatus, RepeatsStatus, RequestStatus, ShadowStatus, Status, VolumeStatus,
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -16,7 +16,7 @@
 use storage_core::{AttemptId, End, Send};
 
 use crate::message::{Inbox, Message};
-use crate::options::LinkOptions;
+use crate::options::NodeConnectionOptions;
 use replies::submission_for;
 use transport::Outlet;
 
@@ -60,7 +60,7 @@
 /// A connection to one address of a node, which reconnects until it is closed.
 pub(crate) struct NodeConnection {
     pub(crate) address: SocketAddr,
-    options: LinkOptions,
+    options: NodeConnectionOptions,
     host: String,
     host_id: [u8; 16],
     inbox: Inbox,
@@ -72,7 +72,7 @@
     /// Starts the connection; it connects immediately.
     pub(crate) fn start(
         address: SocketAddr,
-        options: LinkOptions,
+        options: NodeConnectionOptions,
         host: String,
         host_id: [u8; 16],
         inbox: Inbox,
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::peer_network::CompanyOptions;
+use crate::peer_network::PeerNetworkOptions;
 use limits::GateOptions;
 use nvme::{Digests, TargetOptions};
 use planelink::FollowOptions;
@@ -67,7 +67,7 @@
 
 /// Settings of the connections to nodes.
 #[derive(Clone, Debug)]
-pub struct LinkOptions {
+pub struct NodeConnectionOptions {
     /// NQN of the nodes' subsystem.
     pub subsystem: String,
     /// Entries of the I/O queue; at most one fewer attempts are in flight.
@@ -87,16 +87,16 @@
 
 /// Settings of a gateway that asks its peers for their state when it restarts.
 #[derive(Clone, Debug)]
-pub struct ReturnOptions {
+pub struct RecoveryDriverOptions {
     /// How long to wait for peers at most.
-    pub ask_for: Duration,
+    pub peer_timeout: Duration,
     /// The longest time for which anything sent before a crash may still run at a node.
-    pub rest: Duration,
+    pub max_execution_time: Duration,
     /// Whether writes are journaled before they are sent, so that after a crash only the keys of journaled
     /// writes stay closed.
     pub journal: bool,
     /// Whether to keep the mark beside the journal that a test rig needs to simulate a power cut.
-    pub mark: bool,
+    pub power_cut_mark: bool,
 }
 
 /// Settings of a gateway.
@@ -115,21 +115,21 @@
     /// Digests to use where a client requests them.
     pub digests: Digests,
     /// Connections to nodes.
-    pub link: LinkOptions,
+    pub node_connection: NodeConnectionOptions,
     /// The gateway's own limits on connections and held commands.
-    pub gate: GateOptions,
+    pub client_limits: GateOptions,
     /// Most bytes buffered for a client connection that does not read.
-    pub spill: usize,
+    pub max_unsent_bytes: usize,
     /// The node list known before the start.
     pub nodes: Vec<NodeLine>,
     /// Whether to accept nothing until the first orders arrive.
     pub await_orders: bool,
     /// Path of the control socket.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// Time after a stop request by which the gateway exits, with every accepted request answered.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
     /// The peers; without them the gateway serves from its start and talks to no other gateway.
-    pub company: Option<CompanyOptions>,
+    pub peer_network: Option<PeerNetworkOptions>,
     /// The control plane; without it only the node list and the operators change the gateway's state.
-    pub plane: Option<FollowOptions>,
+    pub control_plane: Option<FollowOptions>,
 }
--- a/crates/gateway/src/peer_network.rs
+++ b/crates/gateway/src/peer_network.rs
@@ -11,19 +11,19 @@
 use peerlink::{PeerOptions, Peers, StartError};
 use storage_core::Micros;
 
-use crate::coordination::TogetherOptions;
+use crate::coordination::CoordinationOptions;
 use crate::message::{Inbox, Message};
-use crate::options::ReturnOptions;
+use crate::options::RecoveryDriverOptions;
 
 /// Settings of a gateway that has peers.
 #[derive(Clone, Debug)]
-pub struct CompanyOptions {
+pub struct PeerNetworkOptions {
     /// The peers, and the folder of this gateway's lives.
     pub peers: PeerOptions,
     /// Recovery after a restart, which asks the peers; without it the gateway serves from its start.
-    pub returning: Option<ReturnOptions>,
+    pub recovery: Option<RecoveryDriverOptions>,
     /// Coordination with the fleet; without it the gateway knows of no other gateway.
-    pub together: Option<TogetherOptions>,
+    pub coordination: Option<CoordinationOptions>,
 }
 
 /// The subsystems that handle a peer event.
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -20,7 +20,7 @@
 use crate::gateway::GatewayError;
 use crate::message::Inbox;
 use crate::opcode::opcode_of;
-use crate::options::ReturnOptions;
+use crate::options::RecoveryDriverOptions;
 use crate::peer_network::PeerNetwork;
 use crate::write_journal::WriteJournal;
 
@@ -60,7 +60,7 @@
 impl RecoveryDriver {
     /// Begins the next life, reads the state kept by the previous one, and starts asking peers.
     pub(crate) fn start(
-        options: &ReturnOptions,
+        options: &RecoveryDriverOptions,
         (peer_network, names, folder): (PeerNetwork, Vec<PeerName>, &Path),
         catalogue: &Catalogue,
         seed: u64,
@@ -73,12 +73,12 @@
             Some(bytes) => Some(wire::decode(&bytes).ok_or_else(|| GatewayError::Word(orders_file.clone()))?),
             None => None,
         };
-        let max_execution_time = options.rest.as_micros() as Micros;
+        let max_execution_time = options.max_execution_time.as_micros() as Micros;
         let journal = if options.journal {
             Some(WriteJournal::open(
                 &folder.join("hand"),
                 seed ^ now as u64,
-                options.mark,
+                options.power_cut_mark,
                 max_execution_time,
                 inbox,
             )?)
@@ -98,7 +98,7 @@
         };
         let rules = RecoveryOptions {
             peers: names,
-            ask_for: options.ask_for.as_micros() as Micros,
+            ask_for: options.peer_timeout.as_micros() as Micros,
             rest: max_execution_time,
             ask_again: 200_000,
             read_tries: 5,
--- a/crates/lab/examples/together.rs
+++ b/crates/lab/examples/together.rs
@@ -57,7 +57,7 @@
     let mut with = Vec::new();
     for index in 0..GATEWAYS {
         let mut options = on.gateway_options(index, index as u64 + 2, lines.clone(), None)?;
-        options.company =
+        options.peer_network =
             on.company_options(index, folder.path().join(format!("g{index}")), &BTreeMap::new());
         with.push(Gateway::start(options)?);
     }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -108,7 +108,7 @@
     let mut site = site.clone();
     site.recovery = Some(settings::Recovery { ask_for_ms: 10, journal: true });
     let mut options = site.gateway_options(0, 2, lines, None)?;
-    options.company = site.company_options(0, folder.to_owned(), &BTreeMap::new());
+    options.peer_network = site.company_options(0, folder.to_owned(), &BTreeMap::new());
     let gateway = Gateway::start(options)?;
     let end = Instant::now() + Duration::from_secs(30);
     loop {
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -9,7 +9,7 @@
 
 use decisions::{Group, Micros, RetryBudget, Settings, ShardId};
 use emulator::{ModelOptions, NodeOptions};
-use gateway::{GatewayOptions, LinkOptions, NodeLine, NodeLineState};
+use gateway::{GatewayOptions, NodeConnectionOptions, NodeLine, NodeLineState};
 use load::ClientOptions;
 use nvme::{Digests, Namespace, TargetOptions};
 use records::Op;
@@ -180,7 +180,7 @@
             seed,
             target: self.target(&g.name, "crowbay gateway", self.namespaces(through)),
             digests: digests(l.digests),
-            link: LinkOptions {
+            node_connection: NodeConnectionOptions {
                 subsystem: self.site.subsystem.clone(),
                 entries: self.link.queue_entries,
                 connect_timeout: millis(self.link.connect_ms),
@@ -189,7 +189,7 @@
                 keep_alive: millis(self.link.keep_alive_ms),
                 digests: digests(self.link.digests),
             },
-            gate: limits::GateOptions {
+            client_limits: limits::GateOptions {
                 connections: l.connections,
                 from_address: l.connections_from_address,
                 rising_from_address: l.rising_from_address,
@@ -199,13 +199,13 @@
                 host_bytes: u64::from(l.host_held_mib) << 20,
                 bytes: u64::from(l.held_mib) << 20,
             },
-            spill: l.spill_kib * 1024,
+            max_unsent_bytes: l.spill_kib * 1024,
             nodes,
             await_orders: false,
-            control,
-            stop_within: millis(l.stop_within_ms),
-            company: None,
-            plane: None,
+            control_socket: control,
+            stop_timeout: millis(l.stop_within_ms),
+            peer_network: None,
+            control_plane: None,
         })
     }
 
--- a/crates/settings/src/assemble/fleet.rs
+++ b/crates/settings/src/assemble/fleet.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use fleet::FleetOptions;
-use gateway::{CompanyOptions, MembershipOptions, ReturnOptions, TogetherOptions};
+use gateway::{CoordinationOptions, MembershipOptions, PeerNetworkOptions, RecoveryDriverOptions};
 use peer::PeerName;
 use peerlink::PeerOptions;
 use repeats::CapOptions;
@@ -22,7 +22,7 @@
         index: usize,
         folder: PathBuf,
         told: &BTreeMap<String, SocketAddr>,
-    ) -> Option<CompanyOptions> {
+    ) -> Option<PeerNetworkOptions> {
         if self.recovery.is_none() && self.fleet.is_none() {
             return None;
         }
@@ -30,7 +30,7 @@
         let others = self.gateway.iter().filter(|g| g.name != own.name);
         let at = |g: &Gateway| told.get(&g.name).copied().or(g.peer);
         let peers = others.filter_map(|g| at(g).map(|a| (PeerName(g.name.clone()), a))).collect();
-        Some(CompanyOptions {
+        Some(PeerNetworkOptions {
             peers: PeerOptions {
                 name: PeerName(own.name.clone()),
                 listen: own.peer.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
@@ -38,8 +38,8 @@
                 site: self.number(),
                 folder,
             },
-            returning: self.recovery.as_ref().map(|r| self.return_options(r)),
-            together: self.fleet.as_ref().map(|f| self.together_options(own, f)),
+            recovery: self.recovery.as_ref().map(|r| self.return_options(r)),
+            coordination: self.fleet.as_ref().map(|f| self.together_options(own, f)),
         })
     }
 
@@ -53,16 +53,16 @@
         self.class.iter().map(|c| c.patience_ms).max().unwrap_or(0) + self.rules.order_rest_ms
     }
 
-    fn return_options(&self, recovery: &Recovery) -> ReturnOptions {
-        ReturnOptions {
-            ask_for: millis(recovery.ask_for_ms),
-            rest: millis(self.rest_ms()),
+    fn return_options(&self, recovery: &Recovery) -> RecoveryDriverOptions {
+        RecoveryDriverOptions {
+            peer_timeout: millis(recovery.ask_for_ms),
+            max_execution_time: millis(self.rest_ms()),
             journal: recovery.journal,
-            mark: false,
+            power_cut_mark: false,
         }
     }
 
-    pub(crate) fn together_options(&self, own: &Gateway, table: &FleetTable) -> TogetherOptions {
+    pub(crate) fn together_options(&self, own: &Gateway, table: &FleetTable) -> CoordinationOptions {
         let members = self.gateway.iter().map(|g| (PeerName(g.name.clone()), g.zone)).collect();
         let mut fleet = FleetOptions::new(PeerName(own.name.clone()), own.zone, self.number(), members);
         fleet.period = micros(table.period_ms);
@@ -71,9 +71,9 @@
         if let Some([longest, shortest]) = table.suspicion {
             fleet.suspicion = (longest, shortest);
         }
-        TogetherOptions {
+        CoordinationOptions {
             membership: MembershipOptions { fleet, records: None },
-            repeats: self.repeats.as_ref().map(|r| self.cap_options(own, r)),
+            retry_cap: self.repeats.as_ref().map(|r| self.cap_options(own, r)),
             candidate: self.candidate_options(&own.name),
         }
     }
--- a/crates/settings/src/terms.rs
+++ b/crates/settings/src/terms.rs
@@ -83,7 +83,7 @@
     /// its arrival when a window ends.
     fn cap_terms(&self) -> Option<CapTerms> {
         let together = self.together_options(self.gateway.first()?, self.fleet.as_ref()?);
-        let cap = together.repeats?;
+        let cap = together.retry_cap?;
         Some(CapTerms {
             window: cap.window,
             free: cap.free,
