--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -185,7 +185,7 @@
             let due = due.min(self.recovery.as_ref().map_or(Micros::MAX, RecoveryDriver::next_due));
             let due = due.min(self.coordination.as_ref().map_or(Micros::MAX, |c| c.next_due(now)));
             if due != ticker_due {
-                ticker.due(due);
+                ticker.set_due(due);
                 ticker_due = due;
             }
             if self.host_queues.is_empty() {
@@ -301,7 +301,7 @@
     fn begin_stop(&mut self, now: Micros) {
         if self.stop_deadline.is_none() {
             tracing::info!(open = self.core.open_operations(), "stopping; no new requests are accepted");
-            self.stop_deadline = Some(now + self.options.stop_within.as_micros() as Micros);
+            self.stop_deadline = Some(now + self.options.stop_timeout.as_micros() as Micros);
             self.front_end.closing.store(true, Ordering::Relaxed);
             if let Some(coordination) = &mut self.coordination {
                 coordination.begin_leaving(now);
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -89,7 +89,7 @@
     /// The address can't be listened on, or a coroutine or thread can't be started.
     pub fn start(config: &Config) -> Result<Gateway, GatewayError> {
         // The gateway has one core at most; more threads would only add hand-overs.
-        task::set_up();
+        task::init_runtime();
         let (acceptor, listener) =
             Acceptor::open(config.listen).map_err(|e| GatewayError::Listen(config.listen, e))?;
         let address = acceptor.address();
@@ -184,7 +184,7 @@
             let retry_at = if self.starved.is_empty() { Micros::MAX } else { now + FLUSH_RETRY_INTERVAL };
             let due = self.machine.next_due().min(retry_at);
             if due != announced_due {
-                ticker.due(due);
+                ticker.set_due(due);
                 announced_due = due;
             }
             let Ok(first) = messages.recv() else { return };
@@ -338,13 +338,13 @@
             }
             Output::ShutdownWrite(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
-                    connection.outlet.end_writing();
+                    connection.outlet.finish_writing();
                 }
             }
             Output::ShutdownWriteIfNoInput(socket) => {
                 let without_input = self.connections.get(&socket).filter(|c| c.has_no_input());
                 if let Some(connection) = without_input {
-                    connection.outlet.end_writing();
+                    connection.outlet.finish_writing();
                 }
                 let done = without_input.is_some();
                 self.machine.shutdown_write_result(now, socket, done);
