--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -18,8 +18,8 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: LATENCY_TARGET,
-        aim_stretch: 0.0,
+        latency_target: LATENCY_TARGET,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats: Repeats::Safe,
--- a/crates/interleavings/tests/outbox.rs
+++ b/crates/interleavings/tests/outbox.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use outbox::{Outbox, Piece};
-use sync::checker::{Plant, caught, check};
-use sync::{Arc, Published, handover, thread};
+use sync::checker::{Fault, assert_detected, check};
+use sync::{Arc, Published, queue, thread};
 
 /// More updates than may wait.
 const MANY: u8 = 65;
@@ -78,10 +78,10 @@
 fn settled(is_gone: bool) {
     let site = Site::new();
     let own = site.clone();
-    let (wrote, written) = handover();
+    let (wrote, written) = queue();
     let writer = thread::spawn(move || {
         while let Some(Piece::Bytes(bytes)) = own.outbox.next(&own.view) {
-            wrote.give(bytes);
+            wrote.send(bytes);
             if is_gone {
                 // Its write fails, and it ends.
                 return;
@@ -97,7 +97,7 @@
     });
     site.outbox.answer(Some(b"a".to_vec()));
     site.outbox.settle(Instant::now() + Duration::from_secs(3600));
-    let is_written = written.take() == Some(b"a".to_vec());
+    let is_written = written.receive() == Some(b"a".to_vec());
     assert!(is_written || is_gone, "it left before its answer was written");
     reader.join().expect("it read");
     site.outbox.close();
@@ -118,10 +118,10 @@
 
 #[test]
 fn an_update_missing_in_the_snapshot_is_caught() {
-    caught(Plant::SnapshotStale, "deadlock", Some(3), subscribed);
+    assert_detected(Fault::UpdateDroppedForSnapshot, "deadlock", Some(3), subscribed);
 }
 
 #[test]
 fn an_update_behind_a_snapshot_that_it_is_in_is_caught() {
-    caught(Plant::UpdateTwice, "missing or doubled", Some(3), subscribed);
+    assert_detected(Fault::UpdateAfterSnapshot, "missing or doubled", Some(3), subscribed);
 }
