--- a/crates/capacity/src/parts/lists.rs
+++ b/crates/capacity/src/parts/lists.rs
@@ -1,7 +1,7 @@
 //! What the list of nodes costs a gateway: one change of it, a whole one, and housekeeping over it.
 
 use decisions::Micros;
-use platform::{Machine, Output, Sizes, SocketId};
+use platform::{Machine, Output, ResourceLimits, SocketId};
 
 use crate::coming::NODES;
 use crate::{Ask, MeasureError, Role, Row};
@@ -32,8 +32,8 @@
     fn new(nodes: usize, seed: u64) -> Result<Stage, MeasureError> {
         let config = site::config(nodes, &site::whole(1, nodes), seed)?;
         let now = 1_000_000_000;
-        let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
-        let mut machine = Machine::new(now, &config, sizes);
+        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let mut machine = Machine::new(now, &config, limits);
         let watch = machine.drain_outputs().find_map(|output| match output {
             Output::Connect(socket @ SocketId::Discovery(_), _) => Some(socket),
             _ => None,
@@ -152,7 +152,8 @@
 
 /// A machine that remembers the whole list and has opened nothing.
 pub(super) fn machine(config: &platform::Config) -> Machine {
-    let mut machine = Machine::new(0, config, Sizes::of(config.limits.sockets, config.limits.memory_mb));
+    let mut machine =
+        Machine::new(0, config, ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb));
     machine.drain_outputs().for_each(drop::<Output>);
     machine
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -10,7 +10,7 @@
 use crate::endpoint::EndpointList;
 
 /// Smallest usable number of file descriptors: eight clients, eight connections to nodes, and the gateway's
-/// own needs (`Sizes`).
+/// own needs (`ResourceLimits`).
 const MIN_SOCKETS: u64 = 32;
 /// Smallest usable memory in MB: a gateway with little load takes 9 to 12 of them.
 const MIN_MEMORY_MB: u64 = 16;
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::connection::Connection;
 use crate::machine::Machine;
-use crate::sizes::Sizes;
+use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::stall::StallDetector;
 
@@ -100,13 +100,13 @@
             let _ = ticks.send(Message::Tick); // The engine ends last.
         })
         .map_err(GatewayError::Start)?;
-        let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
-        let machine = Machine::new(clock.now(), config, sizes);
+        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let machine = Machine::new(clock.now(), config, limits);
         acceptor.start(listener, inbox.clone()).map_err(GatewayError::Start)?;
         let (exit_guard, ended) = thread_mpsc::channel();
         let engine = Engine {
             machine,
-            max_response: sizes.answer,
+            max_response: limits.max_response_bytes,
             clock,
             acceptor,
             inbox: inbox.clone(),
@@ -122,7 +122,7 @@
             drop(exit_guard);
         })
         .map_err(GatewayError::Start)?;
-        tracing::info!(name = config.name, %address, ?sizes, "gateway up");
+        tracing::info!(name = config.name, %address, sizes = ?limits, "gateway up");
         Ok(Gateway { address, inbox: Mutex::new(inbox), ended: Mutex::new(Some(ended)) })
     }
 
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -23,7 +23,7 @@
 use crate::endpoint::{EndpointList, Zones};
 use crate::node_connections::{ConnectionChoice, ConnectionUpdate, NodeConnections};
 use crate::outcome::load_of;
-use crate::sizes::Sizes;
+use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::unanswered::{AttemptRecords, Cause, Unanswered, UnansweredLog};
 
@@ -91,7 +91,7 @@
     service: Service,
     cancel_attempts: bool,
     settings: decisions::Settings,
-    sizes: Sizes,
+    limits: ResourceLimits,
     dispatcher: Dispatcher<Pending>,
     clients: HashMap<u64, Client>,
     client_timers: ClientTimers,
@@ -127,25 +127,25 @@
 impl Machine {
     /// Creates the state of a gateway that has just started and knows the nodes remembered in its
     /// configuration.
-    pub fn new(now: Micros, config: &Config, sizes: Sizes) -> Self {
+    pub fn new(now: Micros, config: &Config, limits: ResourceLimits) -> Self {
         let idle_timeout = config.service.idle.unwrap_or(Micros::MAX / 8) / IDLE_FRACTION.1 * IDLE_FRACTION.0;
         let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
             cancel_attempts: config.settings.cancel,
             settings: config.settings.clone(),
-            sizes,
+            limits,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
             clients: HashMap::new(),
             client_timers: ClientTimers::default(),
             newest_client: 0,
             open_request_ids: HashSet::new(),
             connections: NodeConnections::new(
-                Limits { body: sizes.answer, ..MESSAGE_LIMITS },
+                Limits { body: limits.max_response_bytes, ..MESSAGE_LIMITS },
                 idle_timeout,
                 connect_timeout,
-                sizes.links,
-                sizes.answers,
+                limits.node_connections,
+                limits.max_buffered_response_bytes,
             ),
             nodes: HashMap::new(),
             gone_nodes: BTreeSet::new(),
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -120,7 +120,7 @@
     /// Handles a client connection's timer: no whole request came in time, it was idle for too long, or
     /// its lingering close is due.
     pub(super) fn client_timer_due(&mut self, now: Micros, id: u64) {
-        let slots_short = self.accept_wanted && self.clients.len() >= self.sizes.clients;
+        let slots_short = self.accept_wanted && self.clients.len() >= self.limits.client_connections;
         let Some(client) = self.clients.get_mut(&id) else { return };
         if client.open_request.is_some() {
             return;
@@ -227,7 +227,7 @@
         if !self.accept_wanted || self.out_of_descriptors {
             return;
         }
-        if self.clients.len() >= self.sizes.clients {
+        if self.clients.len() >= self.limits.client_connections {
             let may_close = |c: &Client| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
             let can_close = |c: &Client| {
                 !c.close_declined && (c.lingering.is_some() || c.is_idle() && (!c.served || may_close(c)))
@@ -270,7 +270,8 @@
     /// Clients that ask once and keep their connection would hold slots on which nothing is asked, and the
     /// next requests would find none. The cost is that clients open more connections than they need.
     pub(super) fn is_crowded(&self) -> bool {
-        self.clients.len() >= self.sizes.clients - self.sizes.clients / CROWDED_DIVISOR
+        self.clients.len()
+            >= self.limits.client_connections - self.limits.client_connections / CROWDED_DIVISOR
     }
 
     pub(super) fn write_response(
--- a/crates/platform/src/sizes.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,27 +1,29 @@
 //! Division of the machine's resources among the parts of a gateway.
 
+use std::fmt;
+
 use crate::machine::MESSAGE_LIMITS;
 
 /// Resource limits of the parts of a gateway.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub struct ResourceLimits {
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Maximum number of connections to nodes.
-    pub links: usize,
+    pub node_connections: usize,
     /// Maximum size of one node response, in bytes.
-    pub answer: usize,
+    pub max_response_bytes: usize,
     /// Maximum size of all incomplete node responses together, in bytes.
-    pub answers: usize,
+    pub max_buffered_response_bytes: usize,
 }
 
-impl Sizes {
+impl ResourceLimits {
     /// Divides the file descriptors and the memory that the machine grants.
     ///
     /// Without a free descriptor nothing can be accepted, opened or read, and the gateway stalls while it is
     /// alive. Discovery, the listener, the runtime and logs are reserved first, then nodes and clients get
     /// half each. The cost is that one half may be unused while the other is short.
-    pub fn of(sockets: u64, memory_mb: u64) -> Self {
+    pub fn from_machine(sockets: u64, memory_mb: u64) -> Self {
         let sockets = usize::try_from(sockets).unwrap_or(usize::MAX);
         let reserve = (sockets / 16).clamp(16, 64);
         let half = sockets.saturating_sub(reserve) / 2;
@@ -32,11 +34,23 @@
         // The protocol's bodies hold 64 KiB, but nodes were seen to respond with 344 KB. A response rejected
         // here was computed in vain.
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20);
-        Sizes {
-            clients: each,
-            links: each,
-            answer: (memory / 32).max(MESSAGE_LIMITS.body),
-            answers: memory / 4,
+        ResourceLimits {
+            client_connections: each,
+            node_connections: each,
+            max_response_bytes: (memory / 32).max(MESSAGE_LIMITS.body),
+            max_buffered_response_bytes: memory / 4,
         }
     }
 }
+
+/// Written by hand to keep the text of the start-up log line.
+impl fmt::Debug for ResourceLimits {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Sizes")
+            .field("clients", &self.client_connections)
+            .field("links", &self.node_connections)
+            .field("answer", &self.max_response_bytes)
+            .field("answers", &self.max_buffered_response_bytes)
+            .finish()
+    }
+}
--- a/crates/platform/tests/agent/mod.rs
+++ b/crates/platform/tests/agent/mod.rs
@@ -83,7 +83,7 @@
         let mut config = config(address(1), 512, &node_list(KNOWN_REVISION, true, &members));
         (config.seed, config.settings.drain_grace) = (seed, grace);
         let mut simulation = AgentSimulation {
-            gateway: TestGateway::from_config(&config, LARGE_SIZES),
+            gateway: TestGateway::from_config(&config, LARGE_LIMITS),
             schedule,
             ready: true,
             revision: KNOWN_REVISION,
--- a/crates/platform/tests/bound_plans.rs
+++ b/crates/platform/tests/bound_plans.rs
@@ -28,7 +28,7 @@
     (settings["policyLimits"]["sendCap"], settings["policyLimits"]["connectTimeoutUs"]) =
         (json!(50), json!(400_000));
     let config = Config::parse("test", config.to_string().as_bytes()).unwrap_or_else(|e| panic!("{e}"));
-    TestGateway::from_config(&config, LARGE_SIZES)
+    TestGateway::from_config(&config, LARGE_LIMITS)
 }
 
 fn send_request(gateway: &mut TestGateway, id: &str, units: u32) {
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{Sizes, SocketId};
+use platform::{ResourceLimits, SocketId};
 
 #[test]
 fn timeout_counts_from_the_requests_last_byte() {
@@ -239,7 +239,7 @@
 #[test]
 fn an_idle_connection_closes_before_new_ones_without_a_request() {
     let mut gateway = TestGateway::with_list(
-        Sizes { clients: 4, ..LARGE_SIZES },
+        ResourceLimits { client_connections: 4, ..LARGE_LIMITS },
         &node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]),
     );
     let old = gateway.connect_client();
@@ -254,7 +254,7 @@
 #[test]
 fn no_connection_is_accepted_until_a_slot_is_free() {
     let mut gateway = TestGateway::with_list(
-        Sizes { clients: 2, links: 8, ..LARGE_SIZES },
+        ResourceLimits { client_connections: 2, node_connections: 8, ..LARGE_LIMITS },
         &node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]),
     );
     let (one, two) = (gateway.connect_client(), gateway.connect_client());
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use platform::{Config, End, Machine, Output, Sizes, SocketId};
+use platform::{Config, End, Machine, Output, ResourceLimits, SocketId};
 
 pub const LISTEN: &str = "127.0.0.1:0";
 
@@ -115,8 +115,8 @@
 }
 
 impl TestGateway {
-    pub fn with_list(sizes: Sizes, known: &serde_json::Value) -> Self {
-        TestGateway::from_config(&config(address(1), 512, known), sizes)
+    pub fn with_list(limits: ResourceLimits, known: &serde_json::Value) -> Self {
+        TestGateway::from_config(&config(address(1), 512, known), limits)
     }
 
     /// The gateway of [`TestGateway::with_two_nodes`], with this seed for its random delays.
@@ -127,7 +127,12 @@
         config.seed = seed;
         TestGateway::from_config(
             &config,
-            Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 },
+            ResourceLimits {
+                client_connections: 16,
+                node_connections: 16,
+                max_response_bytes: 512 << 10,
+                max_buffered_response_bytes: 1 << 20,
+            },
         )
     }
 
@@ -139,14 +144,14 @@
         let mut document: serde_json::Value = serde_json::from_str(&text).expect("a configuration");
         change(&mut document["settings"]);
         let config = Config::parse("test", document.to_string().as_bytes()).unwrap_or_else(|e| panic!("{e}"));
-        TestGateway::from_config(&config, LARGE_SIZES)
+        TestGateway::from_config(&config, LARGE_LIMITS)
     }
 
     /// A gateway with a configuration.
-    pub fn from_config(config: &Config, sizes: Sizes) -> Self {
+    pub fn from_config(config: &Config, limits: ResourceLimits) -> Self {
         let now = 1_000_000_000;
         let mut gateway = TestGateway {
-            machine: Machine::new(now, config, sizes),
+            machine: Machine::new(now, config, limits),
             now,
             written: BTreeMap::new(),
             connecting: Vec::new(),
@@ -170,7 +175,12 @@
         let members =
             [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
         TestGateway::with_list(
-            Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 },
+            ResourceLimits {
+                client_connections: 16,
+                node_connections: 16,
+                max_response_bytes: 512 << 10,
+                max_buffered_response_bytes: 1 << 20,
+            },
             &node_list(5, true, &members),
         )
     }
@@ -354,7 +364,12 @@
     std::str::from_utf8(bytes).unwrap_or("?")
 }
 
-pub const LARGE_SIZES: Sizes = Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 };
+pub const LARGE_LIMITS: ResourceLimits = ResourceLimits {
+    client_connections: 16,
+    node_connections: 16,
+    max_response_bytes: 512 << 10,
+    max_buffered_response_bytes: 1 << 20,
+};
 
 /// A gateway, a client, and the connection on which its request was sent.
 pub fn gateway_with_sent_request(request: &str) -> (TestGateway, SocketId, SocketId) {
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -251,7 +251,7 @@
         [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
     let mut config = config(address(1), 512, &node_list(5, true, &nodes));
     config.settings.drain_grace = 100_000;
-    let mut gateway = TestGateway::from_config(&config, LARGE_SIZES);
+    let mut gateway = TestGateway::from_config(&config, LARGE_LIMITS);
     let (start, mut calls) = (gateway.now, Vec::new());
     while !gateway.machine.summary().contains("nodes=3") {
         gateway.advance(10_000);
--- a/crates/platform/tests/nodes.rs
+++ b/crates/platform/tests/nodes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{Sizes, SocketId};
+use platform::{ResourceLimits, SocketId};
 
 #[test]
 fn a_request_goes_to_its_shards_node_unchanged_and_the_answer_comes_back_unchanged() {
@@ -137,7 +137,7 @@
 #[test]
 fn a_refusal_is_sent_at_once_with_retry_after() {
     let mut gateway = TestGateway::with_list(
-        LARGE_SIZES,
+        LARGE_LIMITS,
         &node_list(1, true, &[list_entry("a", address(100), 0, "terminating")]),
     );
     let client = gateway.connect_client();
@@ -271,8 +271,10 @@
 fn at_the_connection_limit_an_idle_one_is_closed_or_the_request_refused() {
     let members =
         [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
-    let mut gateway =
-        TestGateway::with_list(Sizes { clients: 8, links: 1, ..LARGE_SIZES }, &node_list(1, true, &members));
+    let mut gateway = TestGateway::with_list(
+        ResourceLimits { client_connections: 8, node_connections: 1, ..LARGE_LIMITS },
+        &node_list(1, true, &members),
+    );
     let client = gateway.connect_client();
     gateway.receive(client, read_request("r1", 0));
     let first = gateway.establish_node();
--- a/crates/platform/tests/places.rs
+++ b/crates/platform/tests/places.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use platform::{Sizes, SocketId};
+use platform::{ResourceLimits, SocketId};
 
 fn client_with_request(gateway: &mut TestGateway, request: &str) -> SocketId {
     let client = gateway.connect_client();
@@ -16,7 +16,8 @@
 /// request.
 fn gateway_with_full_slots() -> (TestGateway, SocketId) {
     let nodes = node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]);
-    let mut gateway = TestGateway::with_list(Sizes { clients: 2, ..LARGE_SIZES }, &nodes);
+    let mut gateway =
+        TestGateway::with_list(ResourceLimits { client_connections: 2, ..LARGE_LIMITS }, &nodes);
     let pending = client_with_request(&mut gateway, &read_request("r0", 0));
     let last = client_with_request(
         &mut gateway,
@@ -49,7 +50,8 @@
 #[test]
 fn an_idle_connection_with_an_unread_request_is_not_closed() {
     let nodes = node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]);
-    let mut gateway = TestGateway::with_list(Sizes { clients: 3, ..LARGE_SIZES }, &nodes);
+    let mut gateway =
+        TestGateway::with_list(ResourceLimits { client_connections: 3, ..LARGE_LIMITS }, &nodes);
     let (first, second) = (gateway.connect_client(), gateway.connect_client());
     gateway.unread.insert(first);
     gateway.connect_client();
@@ -64,7 +66,8 @@
 #[test]
 fn incomplete_requests_in_all_slots_and_waiting_clients_are_answered_in_time() {
     let nodes = node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]);
-    let mut gateway = TestGateway::with_list(Sizes { clients: 10, ..LARGE_SIZES }, &nodes);
+    let mut gateway =
+        TestGateway::with_list(ResourceLimits { client_connections: 10, ..LARGE_LIMITS }, &nodes);
     let start = gateway.now;
     // Thirty clients have connected at once; each is accepted as permits are issued.
     let mut waiting = 30;
--- a/crates/platform/tests/unanswered.rs
+++ b/crates/platform/tests/unanswered.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{End, Sizes};
+use platform::{End, ResourceLimits};
 
 /// Takes the log lines of requests that ended without a response.
 fn take_lines(gateway: &mut TestGateway) -> Vec<String> {
@@ -37,7 +37,7 @@
 fn the_oldest_records_are_dropped_and_counted() {
     const CLIENTS: usize = 70;
     // No node is listed, so all requests wait.
-    let mut gateway = TestGateway::with_list(Sizes::of(512, 64), &node_list(5, true, &[]));
+    let mut gateway = TestGateway::with_list(ResourceLimits::from_machine(512, 64), &node_list(5, true, &[]));
     for n in 0..CLIENTS {
         let client = gateway.connect_client();
         gateway.receive(client, read_request(&format!("r{n}"), 0));
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use bytes::Bytes;
-use platform::{Machine, Output, Sizes, SocketId};
+use platform::{Machine, Output, ResourceLimits, SocketId};
 
 use super::conn::Peer;
 use super::{AT_ONCE, COUNTED, Event, KILLED, NEAR, WAY, World};
@@ -116,8 +116,8 @@
         gateway.learning.begin(now, known, &self.changes, back);
         let known = self.register.whole(known);
         let config = config(&self.scenario, g, gateway.life, &known);
-        let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
-        gateway.machine = Some(Machine::new(now, &config, sizes));
+        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        gateway.machine = Some(Machine::new(now, &config, limits));
         gateway.listening = true;
         gateway.due = Micros::MAX;
         self.drive(g);
