--- a/crates/console/src/control.rs
+++ b/crates/console/src/control.rs
@@ -1,9 +1,9 @@
 //! The control plane as a gateway follows it, in a line for people.
 
-use gateway::ControlStatus;
+use gateway::ControlPlaneStatus;
 
 /// Where it stands, whom it follows and since when.
-pub(crate) fn control_line(c: &ControlStatus, now: i64) -> String {
+pub(crate) fn control_line(c: &ControlPlaneStatus, now: i64) -> String {
     let span = format!("{:.1} s", (now - c.since).max(0) as f64 / 1e6);
     let link = match &c.machine {
         Some(machine) => format!("{machine} for {span}, {}", if c.level { "level" } else { "not level" }),
--- a/crates/console/src/fleet.rs
+++ b/crates/console/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gateway::{FleetStatus, RepeatsStatus, ShadowStatus, Status};
+use gateway::{FleetStatus, RetryCapStatus, ShadowStatus, Status};
 use repeats::ShardState;
 use shadow::Enough;
 
@@ -46,7 +46,7 @@
     line
 }
 
-fn cap(r: &RepeatsStatus) -> Vec<String> {
+fn cap(r: &RetryCapStatus) -> Vec<String> {
     let look = |l: &repeats::ShardLook| {
         let shard = l.shard.map_or("all shards".into(), |s| format!("shard {s}"));
         let state = format!("{:?}", l.state).to_lowercase();
--- a/crates/crowbay/tests/control.rs
+++ b/crates/crowbay/tests/control.rs
@@ -8,7 +8,7 @@
 use common::machine::Machine;
 use common::process::{EXE, text};
 use common::stage::{self, Stage};
-use gateway::{ControlStatus, NodeLineState, Status};
+use gateway::{ControlPlaneStatus, NodeLineState, Status};
 use load::Found;
 
 const GATEWAYS: [&str; 1] = ["g1"];
@@ -73,17 +73,17 @@
         self.stage.status("g1")
     }
 
-    fn control(&self) -> ControlStatus {
+    fn control(&self) -> ControlPlaneStatus {
         self.status().control.expect("it follows a control plane")
     }
 
-    fn until(&self, what: &str, done: impl Fn(&ControlStatus) -> bool) {
+    fn until(&self, what: &str, done: impl Fn(&ControlPlaneStatus) -> bool) {
         self.stage.until("g1", what, |s| done(s.control.as_ref().expect("it follows a control plane")));
     }
 }
 
 /// Up to where region 1 is held.
-fn held(control: &ControlStatus) -> (u64, u64) {
+fn held(control: &ControlPlaneStatus) -> (u64, u64) {
     let region = control.regions.iter().find(|r| r.region == 1).expect("it follows region 1");
     (region.epoch, region.version)
 }
--- a/crates/gateway/src/control_plane.rs
+++ b/crates/gateway/src/control_plane.rs
@@ -10,7 +10,7 @@
 
 use crate::drains::DrainedNodes;
 use crate::message::{Inbox, Message};
-use crate::status::ControlStatus;
+use crate::status::ControlPlaneStatus;
 
 pub(crate) struct ControlPlane(Follower);
 
@@ -32,7 +32,7 @@
     }
 
     /// The follower's state for operators, with the nodes that the engine drains because of it.
-    pub(crate) fn status(&self, drains: &BTreeSet<String>) -> ControlStatus {
-        ControlStatus::of(self.0.look(), drains)
+    pub(crate) fn status(&self, drains: &BTreeSet<String>) -> ControlPlaneStatus {
+        ControlPlaneStatus::of(self.0.look(), drains)
     }
 }
--- a/crates/gateway/src/engine/control_plane.rs
+++ b/crates/gateway/src/engine/control_plane.rs
@@ -5,7 +5,7 @@
 use storage_core::Micros;
 
 use super::Engine;
-use crate::status::ControlStatus;
+use crate::status::ControlPlaneStatus;
 
 impl Engine {
     /// Replaces the set of nodes drained by the control plane; the rest of the node list stays as ordered.
@@ -21,7 +21,7 @@
     }
 
     /// The control plane's state for the status answer.
-    pub(super) fn control_status(&self) -> Option<ControlStatus> {
+    pub(super) fn control_status(&self) -> Option<ControlPlaneStatus> {
         Some(self.control_plane.as_ref()?.status(&self.control_plane_drains))
     }
 }
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -14,7 +14,7 @@
 
 use super::Engine;
 use crate::retry_cap::{RetryCap, RetryIdentity};
-use crate::status::{FleetStatus, RepeatsStatus};
+use crate::status::{FleetStatus, RetryCapStatus};
 
 /// A node connection that has been down for longer than this counts as silence.
 const SILENCE_THRESHOLD: Micros = 1_000_000;
@@ -212,8 +212,8 @@
         Some(FleetStatus::of(&membership.view(), membership.life(), &membership.counts()))
     }
 
-    pub(super) fn repeats_status(&self, now: Micros) -> Option<RepeatsStatus> {
+    pub(super) fn repeats_status(&self, now: Micros) -> Option<RetryCapStatus> {
         let (shards, counts) = self.coordination.as_ref()?.retry_cap.as_ref()?.snapshot(now);
-        Some(RepeatsStatus { shards, counts })
+        Some(RetryCapStatus { shards, counts })
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -43,7 +43,7 @@
     Peers(#[from] peerlink::StartError),
     /// Cannot start following the control plane.
     #[error(transparent)]
-    Plane(#[from] planelink::RunError),
+    ControlPlane(#[from] planelink::RunError),
     /// Cannot open the write journal.
     #[error(transparent)]
     Journal(#[from] filelog::LogError),
@@ -55,13 +55,13 @@
     Candidate(#[from] shadow::CandidateError),
     /// The file of the previous life's orders contains something else.
     #[error("{0} is intact but does not contain orders; move it away to start without them")]
-    Word(PathBuf),
+    InvalidOrdersFile(PathBuf),
     /// The engine has ended.
     #[error("the gateway has stopped")]
     Stopped,
     /// The request was refused.
     #[error("{0}")]
-    TurnedDown(String),
+    Refused(String),
 }
 
 /// A running gateway.
@@ -219,7 +219,7 @@
     let (reply, answer) = thread_mpsc::channel();
     inbox.send(Message::Control(request, reply));
     let answer = answer.recv_timeout(Duration::from_secs(10)).map_err(|_| GatewayError::Stopped)?;
-    answer.map_err(GatewayError::TurnedDown)
+    answer.map_err(GatewayError::Refused)
 }
 
 fn serve_control(path: &std::path::Path, inbox: Inbox) -> io::Result<Served> {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -41,6 +41,7 @@
 pub use options::{GatewayOptions, NodeConnectionOptions, NodeLine, NodeLineState, RecoveryDriverOptions};
 pub use peer_network::PeerNetworkOptions;
 pub use status::{
-    ControlAnswer, ControlRequest, ControlStatus, EndedStatus, FleetStatus, MemberStatus, NodeFactStatus,
-    NodeStatus, RegionStatus, RepeatsStatus, RequestStatus, ShadowStatus, Status, VolumeStatus,
+    ControlAnswer, ControlPlaneStatus, ControlRequest, EndedStatus, FleetNodeStatus, FleetStatus,
+    MemberStatus, NodeStatus, RegionStatus, RequestStatus, RetryCapStatus, ShadowStatus, Status,
+    VolumeStatus,
 };
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -70,7 +70,9 @@
         let settings = &catalogue.settings;
         let orders_file = folder.join("word");
         let previous: Option<Word> = match filelog::read(&orders_file)? {
-            Some(bytes) => Some(wire::decode(&bytes).ok_or_else(|| GatewayError::Word(orders_file.clone()))?),
+            Some(bytes) => Some(
+                wire::decode(&bytes).ok_or_else(|| GatewayError::InvalidOrdersFile(orders_file.clone()))?,
+            ),
             None => None,
         };
         let max_execution_time = options.max_execution_time.as_micros() as Micros;
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,6 +1,6 @@
 //! Requests and answers of the control socket.
 
-mod control;
+mod control_plane;
 mod fleet;
 
 use serde::{Deserialize, Serialize};
@@ -8,8 +8,8 @@
 
 use crate::options::{NodeLine, NodeLineState};
 
-pub use control::{ControlStatus, RegionStatus};
-pub use fleet::{FleetStatus, MemberStatus, NodeFactStatus, RepeatsStatus, ShadowStatus};
+pub use control_plane::{ControlPlaneStatus, RegionStatus};
+pub use fleet::{FleetNodeStatus, FleetStatus, MemberStatus, RetryCapStatus, ShadowStatus};
 
 /// A request on the control socket.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -168,13 +168,13 @@
     pub fleet: Option<FleetStatus>,
     /// The retry cap; `None` if only the gateway's own retry budget applies.
     #[serde(default)]
-    pub repeats: Option<RepeatsStatus>,
+    pub repeats: Option<RetryCapStatus>,
     /// The candidate shard map on trial, if any.
     #[serde(default)]
     pub shadow: Option<ShadowStatus>,
     /// The control plane's state as held here; `None` if the gateway follows none.
     #[serde(default)]
-    pub control: Option<ControlStatus>,
+    pub control: Option<ControlPlaneStatus>,
     /// The nodes.
     pub nodes: Vec<NodeStatus>,
     /// The volumes.
--- a/crates/gateway/src/status/control.rs
+++ b/crates/gateway/src/status/control_plane.rs
@@ -8,7 +8,7 @@
 
 /// The control plane's state as this gateway holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ControlStatus {
+pub struct ControlPlaneStatus {
     /// The machine that the gateway follows; `None` if it serves with the state it has.
     pub machine: Option<String>,
     /// Since when it has followed that machine, or had none.
@@ -44,14 +44,14 @@
     pub version: u64,
 }
 
-impl ControlStatus {
-    pub(crate) fn of(look: FollowLook, drains: &BTreeSet<String>) -> ControlStatus {
+impl ControlPlaneStatus {
+    pub(crate) fn of(look: FollowLook, drains: &BTreeSet<String>) -> ControlPlaneStatus {
         let regions = look.regions.iter().map(|(region, at)| RegionStatus {
             region: region.0,
             epoch: at.epoch.0,
             version: at.version.0,
         });
-        ControlStatus {
+        ControlPlaneStatus {
             since: look.linked_since.or(look.alone_since).unwrap_or_default(),
             regions: regions.collect(),
             machine: look.machine.map(|machine| machine.0),
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -21,7 +21,7 @@
     /// Members by name, including this gateway.
     pub members: Vec<MemberStatus>,
     /// Nodes of which something is known, by name.
-    pub nodes: Vec<NodeFactStatus>,
+    pub nodes: Vec<FleetNodeStatus>,
     /// Notes sent in this life.
     pub notes_out: u64,
     /// Bytes of the notes sent in this life.
@@ -59,7 +59,7 @@
 
 /// What the fleet knows of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeFactStatus {
+pub struct FleetNodeStatus {
     /// Its name.
     pub node: String,
     /// The latest start that any gateway has seen.
@@ -82,7 +82,7 @@
             cap: m.holding.cap,
             candidate: m.holding.candidate,
         };
-        let node = |n: &fleet::NodeFact| NodeFactStatus {
+        let node = |n: &fleet::NodeFact| FleetNodeStatus {
             node: n.node.clone(),
             started: n.started,
             cold_for: n.cold_for,
@@ -107,7 +107,7 @@
 
 /// The retry cap as this gateway holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RepeatsStatus {
+pub struct RetryCapStatus {
     /// Each shard; the last entry, without a number, is the total.
     pub shards: Vec<ShardLook>,
     /// Totals of this life.
