--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::*;
-use decisions::{Group, NodeId, Repeats};
+use decisions::{DedupScope, Idempotency, NodeId};
 use proptest::prelude::*;
 use storage_core::*;
 
@@ -24,7 +24,7 @@
     /// A driver with bulk writes whose duplicates are discarded by every node.
     fn with_deduplicated_bulk_writes() -> Self {
         let mut settings = settings();
-        settings.classes[2].repeats = Repeats::Keyed { group: Group::All, window: 2_000_000 };
+        settings.classes[2].idempotency = Idempotency::Keyed { scope: DedupScope::All, window: 2_000_000 };
         Driver { core: core_of(catalogue_of(settings)), ..Driver::new() }
     }
 
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -9,13 +9,13 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeats: Repeats) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_target: 200_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order: false,
         stream: false,
     }
@@ -36,29 +36,29 @@
 /// One idempotent class, one plan without limit, no retry budget.
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Repeats::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         plans: vec![plan()],
         hosts: 3,
         index: 0,
-        must_ask: false,
-        most_attempts: 4,
-        second_copies: false,
-        cancel: true,
-        probes: false,
-        advice: true,
-        most_advice: SECOND,
+        needs_subscription: false,
+        max_attempts: 4,
+        hedging: false,
+        cancellation: true,
+        probing: false,
+        retry_advice: true,
+        max_retry_after: SECOND,
         cold_units: 30.0,
         cold_window: 2 * SECOND,
-        cold_from: 0.2,
+        cold_start_fraction: 0.2,
         warm_after: 10 * SECOND,
         drain_grace: SECOND,
-        order_rest: 200_000,
-        budget: None,
-        most_units: 8.0,
-        mean_units: 2.0,
+        key_pause: 200_000,
+        retry_budget: None,
+        max_request_units: 8.0,
+        mean_request_units: 2.0,
         share_worth: 0.4,
         spare_worth: 0.1,
-        waste_price: 0.03,
+        waste_cost: 0.03,
     }
 }
 
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -6,12 +6,12 @@
 use proptest::prelude::*;
 
 fn settings() -> Settings {
-    let class = |repeats| Class {
+    let class = |idempotency| Class {
         latency_target: 100_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order: false,
         stream: false,
     };
@@ -25,29 +25,29 @@
         price: 1.0,
     };
     Settings {
-        classes: vec![class(Repeats::Safe), class(Repeats::Unsafe)],
+        classes: vec![class(Idempotency::Safe), class(Idempotency::Unsafe)],
         plans: vec![plan],
         hosts: 1,
         index: 0,
-        must_ask: false,
-        most_attempts: 3,
-        second_copies: false,
-        cancel: true,
-        probes: false,
-        advice: true,
-        most_advice: 1_000_000,
+        needs_subscription: false,
+        max_attempts: 3,
+        hedging: false,
+        cancellation: true,
+        probing: false,
+        retry_advice: true,
+        max_retry_after: 1_000_000,
         cold_units: 100.0,
         cold_window: 1_000_000,
-        cold_from: 0.5,
+        cold_start_fraction: 0.5,
         warm_after: 1_000_000,
         drain_grace: 500_000,
-        order_rest: 0,
-        budget: None,
-        most_units: 8.0,
-        mean_units: 2.0,
+        key_pause: 0,
+        retry_budget: None,
+        max_request_units: 8.0,
+        mean_request_units: 2.0,
         share_worth: 0.5,
         spare_worth: 0.1,
-        waste_price: 0.0,
+        waste_cost: 0.0,
     }
 }
 
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -51,7 +51,7 @@
             if exceeded.is_none() {
                 self.front_end.gate().done(id, bytes);
             }
-            let come_back = self.options.catalogue.settings.most_advice;
+            let come_back = self.options.catalogue.settings.max_retry_after;
             return self.refuse(id, command.cid, come_back);
         }
         self.next_operation_id += 1;
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -132,7 +132,7 @@
         let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
-            cancel_attempts: config.settings.cancel,
+            cancel_attempts: config.settings.cancellation,
             settings: config.settings.clone(),
             limits,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
