--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use decisions::{NodeId, NodeState};
-use limits::Turns;
+use limits::FairQueue;
 use may::sync::mpsc::Receiver;
 use nvme::{Admission, IoCommand};
 use records::Clock;
@@ -83,7 +83,7 @@
     clients: HashMap<ConnectionId, Client>,
     accepted: HashMap<OperationId, AcceptedCommand>,
     /// Commands waiting for their host's turn; none of them has been submitted to the core.
-    host_queues: Turns<Arc<str>, (ConnectionId, IoCommand)>,
+    host_queues: FairQueue<Arc<str>, (ConnectionId, IoCommand)>,
     next_operation_id: u64,
     node_connections: HashMap<NodeId, Arc<NodeConnection>>,
     effects: Vec<Effect>,
@@ -129,7 +129,7 @@
             inbox,
             clients: HashMap::new(),
             accepted: HashMap::new(),
-            host_queues: Turns::new(HOST_QUANTUM_BLOCKS),
+            host_queues: FairQueue::new(HOST_QUANTUM_BLOCKS),
             next_operation_id: 0,
             node_connections: HashMap::new(),
             effects: Vec::new(),
@@ -258,7 +258,7 @@
 
     fn housekeeping(&mut self, now: Micros) {
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
-        let overdue = self.front_end.gate().overdue(now);
+        let overdue = self.front_end.client_limits().remove_overdue(now);
         overdue.into_iter().for_each(|id| self.evict(id, "it took longer than limits.way_up_ms"));
         let expired = self.front_end.target().expire(now);
         for cntlid in expired {
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -37,7 +37,7 @@
             return self.refuse(id, command.cid, come_back);
         }
         let bytes = self.command_bytes(&command);
-        let exceeded = self.front_end.gate().take(id, bytes).err();
+        let exceeded = self.front_end.client_limits().acquire(id, bytes).err();
         if let Some(limit) = exceeded {
             tracing::debug!(over = %limit, "command refused by a gateway limit");
         }
@@ -49,7 +49,7 @@
             // The command never becomes a request: the gateway is stopping, an operator holds the volume or
             // has paused everything, or this host has reached its limit of held commands.
             if exceeded.is_none() {
-                self.front_end.gate().done(id, bytes);
+                self.front_end.client_limits().release(id, bytes);
             }
             let come_back = self.options.catalogue.settings.most_advice;
             return self.refuse(id, command.cid, come_back);
@@ -136,7 +136,7 @@
         else {
             return;
         };
-        self.front_end.gate().done(id, bytes);
+        self.front_end.client_limits().release(id, bytes);
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.operation_ids.remove(&cid);
         self.answer(id, cid, completion);
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -96,11 +96,12 @@
 
     pub(super) fn status(&self, now: Micros) -> Status {
         let tally = self.core.counts();
-        let gate = self.front_end.gate();
-        let ((connections, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
-        let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
+        let client_limits = self.front_end.client_limits();
+        let ((connections, rising), (held_commands, held_bytes)) =
+            (client_limits.connections(), client_limits.held());
+        let (hosts, refused) = (client_limits.hosts(), client_limits.rejections().iter());
         let turned_away = refused.map(|(over, n)| (over.to_string(), *n)).collect();
-        drop(gate);
+        drop(client_limits);
         Status {
             name: self.options.name.clone(),
             pid: std::process::id(),
--- a/crates/gateway/src/front_end.rs
+++ b/crates/gateway/src/front_end.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::BytesMut;
-use limits::{Gate, Opened};
+use limits::{AdmissionControl, OpenResult};
 use may::net::{TcpListener, TcpStream};
 use nvme::{GatherList, Output, PduSink, Session, Target};
 use records::Clock;
@@ -23,7 +23,7 @@
     pub(crate) target: Mutex<Target>,
     pub(crate) clock: Clock,
     pub(crate) inbox: Inbox,
-    pub(crate) gate: Mutex<Gate>,
+    pub(crate) client_limits: Mutex<AdmissionControl>,
     pub(crate) max_unsent_bytes: usize,
     pub(crate) digests: nvme::Digests,
     pub(crate) closing: AtomicBool,
@@ -34,8 +34,8 @@
         self.target.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    pub(crate) fn gate(&self) -> std::sync::MutexGuard<'_, Gate> {
-        self.gate.lock().unwrap_or_else(|p| p.into_inner())
+    pub(crate) fn client_limits(&self) -> std::sync::MutexGuard<'_, AdmissionControl> {
+        self.client_limits.lock().unwrap_or_else(|p| p.into_inner())
     }
 
     /// Accepts connections until the gateway closes.
@@ -59,16 +59,16 @@
             }
             next_id += 1;
             let (front_end, id) = (self.clone(), ConnectionId(next_id));
-            match self.gate().open(self.clock.now(), id, from.ip()) {
-                Opened::Kept => {}
-                Opened::InPlaceOf(other) => self.inbox.send(Message::Evict(other)),
-                Opened::Closed(limit) => {
+            match self.client_limits().open(self.clock.now(), id, from.ip()) {
+                OpenResult::Accepted => {}
+                OpenResult::AcceptedInPlaceOf(other) => self.inbox.send(Message::Evict(other)),
+                OpenResult::Rejected(limit) => {
                     tracing::warn!(over = %limit, %from, "a connection is closed");
                     continue;
                 }
             }
             if let Err(error) = task::spawn("front", move || front_end.serve(stream, id)) {
-                self.gate().close(id);
+                self.client_limits().close(id);
                 tracing::warn!(%error, "cannot start a coroutine for a connection");
             }
         }
@@ -80,14 +80,14 @@
             Ok(outlet) => self.run_session(&mut stream, id, Arc::new(outlet)),
             Err(error) => tracing::warn!(%error, "cannot set up a connection"),
         }
-        self.gate().close(id);
+        self.client_limits().close(id);
     }
 
     fn run_session(&self, stream: &mut TcpStream, id: ConnectionId, outlet: Arc<Outlet>) {
         let session = Session::new(&self.target(), self.digests);
         let connection = Arc::new(Connection::new(id, outlet, session));
         let register_connection = || self.inbox.send(Message::Opened(connection.clone()));
-        let mut keep_open = registration::register(&self.gate, id, register_connection);
+        let mut keep_open = registration::register(&self.client_limits, id, register_connection);
         let mut buffer = vec![0; READ_BUFFER_BYTES].into_boxed_slice();
         while keep_open {
             match stream.read(&mut buffer) {
@@ -125,8 +125,8 @@
                 }
                 Output::Bound(admission) => {
                     let host = self.target().host(admission.cntlid).unwrap_or_default().to_owned();
-                    // The gate no longer counts a connection that it has evicted.
-                    keep_open &= self.gate().risen(connection.id, &host);
+                    // Admission control no longer counts a connection that it has evicted.
+                    keep_open &= self.client_limits().establish(connection.id, &host);
                     self.inbox.send(Message::Bound(connection.id, admission, host.into()));
                 }
                 Output::Ended(cntlid) => self.inbox.send(Message::AssociationEnded(cntlid)),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use limits::Gate;
+use limits::AdmissionControl;
 use may::net::TcpListener;
 use nvme::{DiscoveryEntry, Target};
 use records::Clock;
@@ -96,7 +96,7 @@
             target: Mutex::new(Target::new(options.target.clone())),
             clock: Clock::new(),
             inbox: inbox.clone(),
-            gate: Mutex::new(Gate::new(options.client_limits.clone())),
+            client_limits: Mutex::new(AdmissionControl::new(options.client_limits.clone())),
             max_unsent_bytes: options.max_unsent_bytes,
             digests: options.digests,
             closing: AtomicBool::new(false),
@@ -166,7 +166,7 @@
         let _ = std::net::TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
         // The last answers may still be leaving this process.
         for _ in 0..100 {
-            if self.front_end.gate().connections().0 == 0 {
+            if self.front_end.client_limits().connections().0 == 0 {
                 break;
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::peer_network::PeerNetworkOptions;
-use limits::GateOptions;
+use limits::AdmissionLimits;
 use nvme::{Digests, TargetOptions};
 use planelink::FollowOptions;
 use serde::{Deserialize, Serialize};
@@ -117,7 +117,7 @@
     /// Connections to nodes.
     pub node_connection: NodeConnectionOptions,
     /// The gateway's own limits on connections and held commands.
-    pub client_limits: GateOptions,
+    pub client_limits: AdmissionLimits,
     /// Most bytes buffered for a client connection that does not read.
     pub max_unsent_bytes: usize,
     /// The node list known before the start.
--- a/crates/interleavings/tests/entry.rs
+++ b/crates/interleavings/tests/entry.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr};
 
-use limits::{ConnectionId, Gate, GateOptions, Opened};
+use limits::{AdmissionControl, AdmissionLimits, ConnectionId, OpenResult};
 use registration::register;
 use sync::checker::{Fault, assert_detected, check};
 use sync::{Arc, Mutex, lock, queue, thread};
@@ -20,13 +20,13 @@
 }
 
 /// Room for one connection.
-fn gate() -> Gate {
+fn client_limits() -> AdmissionControl {
     let (some, bytes) = (10, 10);
-    Gate::new(GateOptions {
+    AdmissionControl::new(AdmissionLimits {
         connections: 1,
-        from_address: some,
-        rising_from_address: some,
-        way_up: 1000,
+        connections_from_address: some,
+        connecting_from_address: some,
+        connect_timeout: 1000,
         host_commands: some,
         commands: some,
         host_bytes: bytes,
@@ -36,15 +36,15 @@
 
 /// One is accepted and served, as another is accepted in its place: it must not be left open.
 fn given_way() {
-    let gate = Arc::new(Mutex::new(gate()));
+    let client_limits = Arc::new(Mutex::new(client_limits()));
     let (first, second) = (ConnectionId(1), ConnectionId(2));
     let from = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let (gives, inbox) = queue();
     let gives = Arc::new(gives);
-    assert_eq!(lock(&gate).open(0, first, from), Opened::Kept);
-    let (own, tells) = (gate.clone(), gives.clone());
+    assert_eq!(lock(&client_limits).open(0, first, from), OpenResult::Accepted);
+    let (own, tells) = (client_limits.clone(), gives.clone());
     let serves = thread::spawn(move || register(&own, first, || assert!(tells.send(Message::Opened(first)))));
-    assert_eq!(lock(&gate).open(0, second, from), Opened::InPlaceOf(first));
+    assert_eq!(lock(&client_limits).open(0, second, from), OpenResult::AcceptedInPlaceOf(first));
     gives.send(Message::Evict(first));
     drop(gives);
     let goes_on = serves.join().expect("it was served");
--- a/crates/limits/src/gate.rs
+++ b/crates/limits/src/admission.rs
@@ -12,15 +12,15 @@
 
 /// The limits to enforce.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GateOptions {
+pub struct AdmissionLimits {
     /// Connections in total.
     pub connections: usize,
     /// Connections from one address.
-    pub from_address: usize,
+    pub connections_from_address: usize,
     /// Connections from one address that are not established yet.
-    pub rising_from_address: usize,
+    pub connecting_from_address: usize,
     /// Time in which a connection must be established, in microseconds.
-    pub way_up: Micros,
+    pub connect_timeout: Micros,
     /// Commands held for one host.
     pub host_commands: usize,
     /// Commands held in total.
@@ -33,7 +33,7 @@
 
 /// The limit that was reached. The messages are keys in the gateway's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum Over {
+pub enum LimitReached {
     /// All connections are in use, and all of them are established.
     #[error("limits.connections is reached")]
     Connections,
@@ -42,7 +42,7 @@
     FromAddress,
     /// Too many connections from the address that are not established yet.
     #[error("limits.rising_from_address is reached")]
-    Rising,
+    Connecting,
     /// Too many commands are held for the host.
     #[error("limits.host_commands is reached")]
     HostCommands,
@@ -59,14 +59,14 @@
 
 /// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum OpenResult {
     /// The connection is accepted.
-    Kept,
+    Accepted,
     /// The connection is accepted in place of this one, which was never established and which the caller must
     /// close.
-    InPlaceOf(ConnectionId),
+    AcceptedInPlaceOf(ConnectionId),
     /// The connection is rejected because of this limit; the caller must close it.
-    Closed(Over),
+    Rejected(LimitReached),
 }
 
 #[derive(Clone, Debug)]
@@ -94,22 +94,22 @@
 
 /// Admission control of one gateway.
 #[derive(Debug)]
-pub struct Gate {
-    options: GateOptions,
+pub struct AdmissionControl {
+    limits: AdmissionLimits,
     connections: HashMap<ConnectionId, Connection>,
     /// Connections that are not established yet, oldest first.
     connecting: BTreeSet<(Micros, ConnectionId)>,
     addresses: HashMap<IpAddr, AddressUsage>,
     hosts: BTreeMap<String, Usage>,
     total: Usage,
-    rejections: BTreeMap<Over, u64>,
+    rejections: BTreeMap<LimitReached, u64>,
 }
 
-impl Gate {
+impl AdmissionControl {
     /// Creates an admission control without connections.
-    pub fn new(options: GateOptions) -> Self {
-        Gate {
-            options,
+    pub fn new(limits: AdmissionLimits) -> Self {
+        AdmissionControl {
+            limits,
             connections: HashMap::new(),
             connecting: BTreeSet::new(),
             addresses: HashMap::new(),
@@ -126,19 +126,21 @@
     /// timeout, and when the table is full the oldest of them is closed to make room. An established
     /// connection is never closed for this. Under a flood from many addresses a legitimate host may have to
     /// reconnect, because its own connection may be the oldest that is not established.
-    pub fn open(&mut self, now: Micros, id: ConnectionId, address: IpAddr) -> Opened {
+    pub fn open(&mut self, now: Micros, id: ConnectionId, address: IpAddr) -> OpenResult {
         let usage = self.addresses.get(&address).copied().unwrap_or_default();
-        if usage.connections >= self.options.from_address {
-            return self.reject(Over::FromAddress);
+        if usage.connections >= self.limits.connections_from_address {
+            return self.reject(LimitReached::FromAddress);
         }
-        if usage.connecting >= self.options.rising_from_address {
-            return self.reject(Over::Rising);
+        if usage.connecting >= self.limits.connecting_from_address {
+            return self.reject(LimitReached::Connecting);
         }
-        let mut opened = Opened::Kept;
-        if self.total.connections >= self.options.connections {
-            let Some(&(_, oldest)) = self.connecting.first() else { return self.reject(Over::Connections) };
+        let mut opened = OpenResult::Accepted;
+        if self.total.connections >= self.limits.connections {
+            let Some(&(_, oldest)) = self.connecting.first() else {
+                return self.reject(LimitReached::Connections);
+            };
             self.close(oldest);
-            opened = Opened::InPlaceOf(oldest);
+            opened = OpenResult::AcceptedInPlaceOf(oldest);
         }
         let usage = self.addresses.entry(address).or_default();
         (usage.connections, usage.connecting) = (usage.connections + 1, usage.connecting + 1);
@@ -150,19 +152,19 @@
     }
 
     /// Counts a rejection.
-    fn reject(&mut self, over: Over) -> Opened {
-        *self.rejections.entry(over).or_default() += 1;
-        Opened::Closed(over)
+    fn reject(&mut self, reached: LimitReached) -> OpenResult {
+        *self.rejections.entry(reached).or_default() += 1;
+        OpenResult::Rejected(reached)
     }
 
     /// Whether a connection is accepted and has not been closed to make room.
-    pub fn holds(&self, id: ConnectionId) -> bool {
+    pub fn contains(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
     /// Marks a connection as established: it is a queue of `host`. Returns false if it is no longer accepted;
     /// the caller must then close it.
-    pub fn risen(&mut self, id: ConnectionId, host: &str) -> bool {
+    pub fn establish(&mut self, id: ConnectionId, host: &str) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         if connection.host.is_some() {
             return true;
@@ -204,41 +206,44 @@
     }
 
     /// Removes and returns the connections that were not established in time; the caller must close them.
-    pub fn overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
-        let late = self.connecting.iter().take_while(|(opened_at, _)| now - opened_at >= self.options.way_up);
+    pub fn remove_overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
+        let late = self
+            .connecting
+            .iter()
+            .take_while(|(opened_at, _)| now - opened_at >= self.limits.connect_timeout);
         let late: Vec<ConnectionId> = late.map(|entry| entry.1).collect();
         late.iter().for_each(|id| self.close(*id));
         late
     }
 
-    /// Returns the time at which [`Gate::overdue`] must be called next.
+    /// Returns the time at which [`AdmissionControl::remove_overdue`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.connecting.first().map(|(opened_at, _)| opened_at + self.options.way_up)
+        self.connecting.first().map(|(opened_at, _)| opened_at + self.limits.connect_timeout)
     }
 
     /// Accounts for a command with `bytes` of data, which is held from now on unless a limit is reached.
     ///
     /// # Errors
     /// The limit that was reached; the command must not be processed.
-    pub fn take(&mut self, id: ConnectionId, bytes: u64) -> Result<(), Over> {
+    pub fn acquire(&mut self, id: ConnectionId, bytes: u64) -> Result<(), LimitReached> {
         let Some(connection) = self.connections.get_mut(&id) else { return Ok(()) };
         let no_usage = Usage::default();
         let host_usage = connection.host.as_ref().and_then(|host| self.hosts.get(host)).unwrap_or(&no_usage);
-        let options = &self.options;
-        let over = if host_usage.commands >= options.host_commands {
-            Some(Over::HostCommands)
-        } else if self.total.commands >= options.commands {
-            Some(Over::Commands)
-        } else if host_usage.bytes + bytes > options.host_bytes {
-            Some(Over::HostBytes)
-        } else if self.total.bytes + bytes > options.bytes {
-            Some(Over::Bytes)
+        let limits = &self.limits;
+        let reached = if host_usage.commands >= limits.host_commands {
+            Some(LimitReached::HostCommands)
+        } else if self.total.commands >= limits.commands {
+            Some(LimitReached::Commands)
+        } else if host_usage.bytes + bytes > limits.host_bytes {
+            Some(LimitReached::HostBytes)
+        } else if self.total.bytes + bytes > limits.bytes {
+            Some(LimitReached::Bytes)
         } else {
             None
         };
-        if let Some(over) = over {
-            *self.rejections.entry(over).or_default() += 1;
-            return Err(over);
+        if let Some(reached) = reached {
+            *self.rejections.entry(reached).or_default() += 1;
+            return Err(reached);
         }
         (connection.commands, connection.bytes) = (connection.commands + 1, connection.bytes + bytes);
         (self.total.commands, self.total.bytes) = (self.total.commands + 1, self.total.bytes + bytes);
@@ -249,7 +254,7 @@
     }
 
     /// Releases a command that was accounted for, once it is answered.
-    pub fn done(&mut self, id: ConnectionId, bytes: u64) {
+    pub fn release(&mut self, id: ConnectionId, bytes: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         (connection.commands, connection.bytes) = (connection.commands - 1, connection.bytes - bytes);
         (self.total.commands, self.total.bytes) = (self.total.commands - 1, self.total.bytes - bytes);
@@ -274,7 +279,7 @@
     }
 
     /// Returns the number of rejected connections and commands, by limit.
-    pub fn turned_away(&self) -> &BTreeMap<Over, u64> {
+    pub fn rejections(&self) -> &BTreeMap<LimitReached, u64> {
         &self.rejections
     }
 }
--- a/crates/limits/src/turns.rs
+++ b/crates/limits/src/fair_queue.rs
@@ -20,7 +20,7 @@
 /// A single host loses nothing by fair queueing; among several hosts, the one with the most commands waits
 /// longer.
 #[derive(Debug)]
-pub struct Turns<K, T> {
+pub struct FairQueue<K, T> {
     quantum: u64,
     queues: HashMap<K, ClientQueue<T>>,
     /// Clients with waiting items, in round-robin order; the first is being served.
@@ -28,10 +28,10 @@
     len: usize,
 }
 
-impl<K: Clone + Eq + Hash, T> Turns<K, T> {
+impl<K: Clone + Eq + Hash, T> FairQueue<K, T> {
     /// Creates an empty queue. `quantum` is the cost that a client may use in one round; 0 counts as 1.
     pub fn new(quantum: u64) -> Self {
-        Turns { quantum: quantum.max(1), queues: HashMap::new(), active: VecDeque::new(), len: 0 }
+        FairQueue { quantum: quantum.max(1), queues: HashMap::new(), active: VecDeque::new(), len: 0 }
     }
 
     /// Number of waiting items.
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -4,15 +4,15 @@
 //! The limits apply before a command becomes a request; what happens to requests is decided by the scheduler.
 //! This package has no clock, sockets or threads: callers pass in `now` and events.
 //!
-//! - [`Gate`]: limits on connections, by address and in total, with a timeout for connections that are never
-//!   established; limits on commands and bytes, by host and in total.
-//! - [`Turns`]: a fair queue of commands, so that a host with 64 queues does not starve a host with one.
+//! - [`AdmissionControl`]: limits on connections, by address and in total, with a timeout for connections
+//!   that are never established; limits on commands and bytes, by host and in total.
+//! - [`FairQueue`]: a fair queue of commands, so that a host with 64 queues does not starve a host with one.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod gate;
-mod turns;
+mod admission;
+mod fair_queue;
 
-pub use gate::{ConnectionId, Gate, GateOptions, Micros, Opened, Over};
-pub use turns::Turns;
+pub use admission::{AdmissionControl, AdmissionLimits, ConnectionId, LimitReached, Micros, OpenResult};
+pub use fair_queue::FairQueue;
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -189,11 +189,11 @@
                 keep_alive: millis(self.link.keep_alive_ms),
                 digests: digests(self.link.digests),
             },
-            client_limits: limits::GateOptions {
+            client_limits: limits::AdmissionLimits {
                 connections: l.connections,
-                from_address: l.connections_from_address,
-                rising_from_address: l.rising_from_address,
-                way_up: Micros::from(l.way_up_ms) * 1000,
+                connections_from_address: l.connections_from_address,
+                connecting_from_address: l.rising_from_address,
+                connect_timeout: Micros::from(l.way_up_ms) * 1000,
                 host_commands: l.host_commands,
                 commands: l.commands,
                 host_bytes: u64::from(l.host_held_mib) << 20,
