--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -39,7 +39,7 @@
     Timeout,
     /// Size, shard or hosts are missing or out of range.
     #[error("X-IO must be units=N,shard=N,hosts=N within the settings")]
-    Extras,
+    IoHeader,
 }
 
 impl Rejection {
@@ -138,9 +138,9 @@
     } else {
         timeout * 1000
     };
-    let extras = field_text(fields.only("x-io"), Rejection::Extras)?.ok_or(Rejection::Extras)?;
-    let (units, shard, hosts) = parse_extras(extras, service, settings).ok_or(Rejection::Extras)?;
-    let retry = field_text(fields.only("x-retried"), Rejection::Extras)? == Some("1");
+    let io_header = field_text(fields.only("x-io"), Rejection::IoHeader)?.ok_or(Rejection::IoHeader)?;
+    let (units, shard, hosts) = parse_io_header(io_header, service, settings).ok_or(Rejection::IoHeader)?;
+    let retry = field_text(fields.only("x-retried"), Rejection::IoHeader)? == Some("1");
     let request_for_decisions = DecisionRequest {
         id: RequestId(0),
         class: index,
@@ -193,7 +193,11 @@
 }
 
 /// Parses units, shard and hosts. Unknown fields are ignored.
-fn parse_extras(text: &str, service: &Service, settings: &Settings) -> Option<(f64, Option<ShardId>, u32)> {
+fn parse_io_header(
+    text: &str,
+    service: &Service,
+    settings: &Settings,
+) -> Option<(f64, Option<ShardId>, u32)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for item in text.split(',') {
         let (name, value) = item.trim().split_once('=')?;
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -303,7 +303,7 @@
             self.older_since.get_or_insert(now);
             return false;
         }
-        let has_no_gap = list.whole || self.complete_revision == self.latest_revision;
+        let has_no_gap = list.is_complete || self.complete_revision == self.latest_revision;
         (self.older_since, self.latest_revision) = (None, list.revision);
         if list.malformed == 0 && has_no_gap {
             self.complete_revision = list.revision;
--- a/crates/platform/src/endpoint.rs
+++ b/crates/platform/src/endpoint.rs
@@ -35,9 +35,9 @@
     /// The address at which this gateway reaches the node.
     pub address: SocketAddr,
     /// Name of the node's zone.
-    pub locality: String,
+    pub zone: String,
     /// The shard that the node holds.
-    pub cell: u32,
+    pub shard: u32,
     /// Whether the node accepts work.
     pub state: NodeState,
     /// When the node last started, if that is recent; on the clock shared by all machines.
@@ -55,8 +55,8 @@
         Some(Endpoint {
             address: self.host_port.parse().ok()?,
             id: self.id,
-            locality: self.locality,
-            cell: self.cell,
+            zone: self.locality,
+            shard: self.cell,
             state,
             started: (self.up_since_ms > 0).then(|| self.up_since_ms.saturating_mul(1000)),
         })
@@ -69,7 +69,7 @@
     /// Revision of the list.
     pub revision: u64,
     /// Whether the list is complete: nodes that it omits are gone.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The entries that could be parsed.
     pub members: Vec<Endpoint>,
     /// Number of entries that could not be parsed.
@@ -91,16 +91,16 @@
         let parse_member = |m: &RawValue| serde_json::from_str::<RawMember>(m.get()).ok()?.into_endpoint();
         let members: Vec<Endpoint> = raw.members.into_iter().filter_map(parse_member).collect();
         let malformed = count - members.len();
-        let whole = raw.complete && malformed == 0 && !members.is_empty();
-        Ok(EndpointList { revision: raw.revision, whole, members, malformed })
+        let is_complete = raw.complete && malformed == 0 && !members.is_empty();
+        Ok(EndpointList { revision: raw.revision, is_complete, members, malformed })
     }
 
     /// Converts the list to the dispatcher's form.
     pub fn to_listed_nodes(&self, zones: &mut Zones) -> Vec<ListedNode> {
         let listed_node = |e: &Endpoint| ListedNode {
             name: e.id.clone(),
-            zone: zones.number_of(&e.locality),
-            shard: e.cell,
+            zone: zones.number_of(&e.zone),
+            shard: e.shard,
             state: e.state,
             started: e.started,
         };
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -37,6 +37,6 @@
 pub use gateway::{Command, Gateway, GatewayError};
 pub use json_stream::{ObjectSplitter, SplitError};
 pub use machine::Machine;
-pub use outcome::{load_of, outcome_of};
+pub use outcome::{attempt_outcome, reported_load};
 pub use resource_limits::ResourceLimits;
 pub use socket::{End, Output, SocketId};
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -22,7 +22,7 @@
 use crate::discovery::{self, Discovery};
 use crate::endpoint::{EndpointList, Zones};
 use crate::node_connections::{ConnectionChoice, ConnectionUpdate, NodeConnections};
-use crate::outcome::load_of;
+use crate::outcome::reported_load;
 use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::unanswered::{AttemptRecords, Cause, Unanswered, UnansweredLog};
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -95,7 +95,7 @@
         outcome: Outcome,
         answer: Option<&http1::Answer>,
     ) {
-        let load = answer.and_then(load_of);
+        let load = answer.and_then(reported_load);
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
             pending.attempts.ended(now, attempt.n, outcome);
         }
--- a/crates/platform/src/machine/lists.rs
+++ b/crates/platform/src/machine/lists.rs
@@ -30,9 +30,9 @@
 
     pub(super) fn apply_list(&mut self, now: Micros, list: &EndpointList, remembered: bool) {
         let listed = list.to_listed_nodes(&mut self.zones);
-        self.dispatcher.nodes(now, list.whole, remembered, &listed);
+        self.dispatcher.nodes(now, list.is_complete, remembered, &listed);
         let mut idle = Vec::new();
-        if list.whole {
+        if list.is_complete {
             let gone = self.dispatcher.node_views().iter().filter(|(_, view)| view.state == NodeState::Gone);
             self.gone_nodes = gone.map(|(node, _)| *node).collect();
         }
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -259,7 +259,7 @@
                 } else {
                     self.remove(id);
                 }
-                let outcome = crate::outcome::outcome_of(&answer);
+                let outcome = crate::outcome::attempt_outcome(&answer);
                 ConnectionUpdate {
                     finished: Some((attempt, outcome, Some(answer))),
                     close: !kept,
@@ -295,7 +295,7 @@
                 End::Cut if connection.decoder.is_between() => (attempt, Outcome::Unreachable, None),
                 End::Cut | End::Broken => (attempt, Outcome::Reset, None),
                 End::Orderly => match connection.decoder.end() {
-                    Some(answer) => (attempt, crate::outcome::outcome_of(&answer), Some(answer)),
+                    Some(answer) => (attempt, crate::outcome::attempt_outcome(&answer), Some(answer)),
                     None => (attempt, Outcome::Reset, None),
                 },
             }),
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -4,7 +4,7 @@
 use http1::Answer;
 
 /// Returns how an attempt ended, from its response. Only the node's own statement proves that it never ran.
-pub fn outcome_of(answer: &Answer) -> Outcome {
+pub fn attempt_outcome(answer: &Answer) -> Outcome {
     let says_not_processed =
         answer.fields.only("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
     match answer.status {
@@ -15,7 +15,7 @@
 }
 
 /// Returns the number of requests that the node holds, if its load report can be read.
-pub fn load_of(answer: &Answer) -> Option<u32> {
+pub fn reported_load(answer: &Answer) -> Option<u32> {
     let report = answer.fields.only("x-server-load").ok()??;
     let report = std::str::from_utf8(report).ok()?.trim();
     let fields = report.strip_prefix("TEXT ")?;
