--- a/crates/appliance/src/site.rs
+++ b/crates/appliance/src/site.rs
@@ -496,7 +496,7 @@
             let Some(seen) = status.nodes.iter().find(|s| s.name == n.name) else { continue };
             view.out += seen.out;
             view.bound += seen.bound;
-            view.l = view.l.max(seen.l);
+            view.l = view.l.max(seen.latency_ratio);
             view.waiting += seen.waiting;
             view.sent += seen.sent;
             view.served += seen.served;
@@ -566,7 +566,7 @@
         ask(ControlRequest::Orders { revision: seq, lines, held, paused })?;
         seen = status()?;
     }
-    let requests = match ask(ControlRequest::Requests { most: REQUESTS })? {
+    let requests = match ask(ControlRequest::Requests { limit: REQUESTS })? {
         ControlAnswer::Requests(requests) => requests,
         _ => Vec::new(),
     };
--- a/crates/console/src/control.rs
+++ b/crates/console/src/control.rs
@@ -6,7 +6,7 @@
 pub(crate) fn control_line(c: &ControlPlaneStatus, now: i64) -> String {
     let span = format!("{:.1} s", (now - c.since).max(0) as f64 / 1e6);
     let link = match &c.machine {
-        Some(machine) => format!("{machine} for {span}, {}", if c.level { "level" } else { "not level" }),
+        Some(machine) => format!("{machine} for {span}, {}", if c.caught_up { "level" } else { "not level" }),
         None => format!("NO MACHINE for {span}, it serves on with what it has"),
     };
     let of = |r: &gateway::RegionStatus| format!("{}: {}.{}", r.region, r.epoch, r.version);
@@ -16,10 +16,10 @@
         "control: {link}; {}; {} entries, {came} KiB in, {went} KiB out, {} whole; {} turned away",
         regions.join(", "),
         c.entries,
-        c.wholes,
-        c.turned_away
+        c.snapshots_received,
+        c.rejected_messages
     );
-    if !c.kept {
+    if !c.stored {
         line += "; NOT KEPT on its disk";
     }
     if !c.drains.is_empty() {
--- a/crates/crowbay/src/day.rs
+++ b/crates/crowbay/src/day.rs
@@ -66,7 +66,7 @@
     println!("answers    served {}, refused {}, failed {}", report.served, report.refused, report.failed);
     println!(
         "attempts   {} sent, {} of them repeats, {} ended late",
-        status.sent, status.further, status.late
+        status.sent, status.retries, status.late_ends
     );
     println!("latency    {}", latency(&summary));
     println!();
--- a/crates/crowbay/src/show.rs
+++ b/crates/crowbay/src/show.rs
@@ -61,7 +61,7 @@
     for (cause, count) in &s.causes {
         println!("not served, {cause}: {count}");
     }
-    println!("attempts {}, repeats {}, out {}, late {}", s.sent, s.further, s.out, s.late);
+    println!("attempts {}, repeats {}, out {}, late {}", s.sent, s.retries, s.out, s.late_ends);
     println!();
     println!(
         "{:16} {:21} {:>5} {:>9} {:>10} {:>5} {:>9} {:>9} {:>8} {:>9}",
@@ -128,14 +128,14 @@
         }
         RecoveryVerb::Hurry { control, confirm } => {
             let costs = "orders that only a peer holds come when it does, and cold nodes may be pushed over";
-            force(control, *confirm, &ControlRequest::Recovery { hurry: true, release: None }, costs)
+            force(control, *confirm, &ControlRequest::Recovery { stop_waiting: true, release: None }, costs)
         }
         RecoveryVerb::Release { number, control, confirm } => {
             let costs = "that write may still run, and overtake what is written to the key from now on";
             force(
                 control,
                 *confirm,
-                &ControlRequest::Recovery { hurry: false, release: Some(*number) },
+                &ControlRequest::Recovery { stop_waiting: false, release: Some(*number) },
                 costs,
             )
         }
@@ -215,7 +215,7 @@
 
 pub fn requests(at: &At, most: usize) -> Ended {
     let Some(control) = &at.control else { return operate::requests(&site_at(at), most) };
-    let ControlAnswer::Requests(requests) = ask(control, &ControlRequest::Requests { most })? else {
+    let ControlAnswer::Requests(requests) = ask(control, &ControlRequest::Requests { limit: most })? else {
         return Err(unexpected());
     };
     if at.json {
--- a/crates/crowbay/tests/control.rs
+++ b/crates/crowbay/tests/control.rs
@@ -41,7 +41,7 @@
         let machine = plane.machine("c1").open();
         plane.stage.node(NODE, &[]);
         plane.stage.gateway("g1");
-        plane.until("it is at its machine's level", |c| c.machine.as_deref() == Some("c1") && c.level);
+        plane.until("it is at its machine's level", |c| c.machine.as_deref() == Some("c1") && c.caught_up);
         (plane, machine)
     }
 
@@ -133,7 +133,7 @@
     let second = plane.put_and_seen(&["volume", "letters", "x"]);
     assert_eq!(second, (first.0, first.1 + 1));
     let control = plane.control();
-    assert_eq!((control.entries, control.turned_away), (2, 0), "{control:?}");
+    assert_eq!((control.entries, control.rejected_messages), (2, 0), "{control:?}");
     assert!(control.bytes_in > 0 && control.bytes_out > 0, "{control:?}");
     plane.put_and_seen(&["--delete", "volume", "letters"]);
     assert_eq!(plane.control().entries, 1);
@@ -157,7 +157,7 @@
     assert_eq!(plane.control().drains, [NODE]);
     // An operator's order that says on does not lift what the entry says, as an entry does not lift an operator's.
     let line = plane.stage.line("g1", 0);
-    let nodes = |line| gateway::ControlRequest::Nodes { whole: false, lines: vec![line] };
+    let nodes = |line| gateway::ControlRequest::Nodes { replace_all: false, lines: vec![line] };
     plane.stage.ask("g1", &nodes(line.clone())).expect("it is carried out");
     assert_eq!(state(&plane.status()), NodeLineState::Draining);
     plane.put_and_seen(&["node", NODE, "{\"state\":\"on\"}"]);
@@ -181,7 +181,7 @@
     let host = plane.stage.host("g1");
     let followed = plane.control();
     drop(machine);
-    plane.until("it has no machine", |c| c.machine.is_none() && !c.level);
+    plane.until("it has no machine", |c| c.machine.is_none() && !c.caught_up);
     let alone = plane.control();
     assert!(alone.since > followed.since, "{followed:?} {alone:?}");
     let token = plane.stage.write_served(&host, 3);
@@ -193,10 +193,10 @@
     let machine = plane.machine("c1").open();
     let after = plane.put_and_seen(&["node", NODE, "{\"state\":\"on\",\"zone\":1}"]);
     assert_eq!(after, (before.0 + 1, before.1 + 1), "a later epoch, and the next version");
-    assert_eq!(plane.control().wholes, followed.wholes);
+    assert_eq!(plane.control().snapshots_received, followed.snapshots_received);
     machine.until("it has served it", |said| said["subscribers"] == 1);
     assert_eq!(machine.said()["wholes"], 0);
-    assert_eq!(plane.control().turned_away, 0);
+    assert_eq!(plane.control().rejected_messages, 0);
 }
 
 #[test]
@@ -213,7 +213,7 @@
     let _machine = plane.machine("c1").open();
     plane.put_and_seen(&["--delete", "node", NODE]);
     plane.stage.until("g1", "the node is on", |s| state(s) == NodeLineState::On);
-    assert_eq!(plane.control().turned_away, 0);
+    assert_eq!(plane.control().rejected_messages, 0);
 }
 
 #[test]
--- a/crates/crowbay/tests/fleet.rs
+++ b/crates/crowbay/tests/fleet.rs
@@ -98,7 +98,7 @@
     stage.order("*", "*", What::Clear);
     settled(&stage, &GATEWAYS);
     for gateway in GATEWAYS {
-        assert_eq!(fleet(&stage.status(gateway)).turned_away, 0, "{gateway}");
+        assert_eq!(fleet(&stage.status(gateway)).rejected_messages, 0, "{gateway}");
     }
 }
 
--- a/crates/gateway/src/engine/control.rs
+++ b/crates/gateway/src/engine/control.rs
@@ -20,14 +20,14 @@
                 }
                 Ok(ControlAnswer::Status(Box::new(self.status(now))))
             }
-            ControlRequest::Requests { most } => {
+            ControlRequest::Requests { limit } => {
                 let views = self.core.open_views();
                 Ok(ControlAnswer::Requests(
-                    views.into_iter().take(most).map(|v| self.request_status(now, v)).collect(),
+                    views.into_iter().take(limit).map(|v| self.request_status(now, v)).collect(),
                 ))
             }
-            ControlRequest::Nodes { whole, lines } => {
-                self.apply_node_list(now, whole, false, &lines);
+            ControlRequest::Nodes { replace_all, lines } => {
+                self.apply_node_list(now, replace_all, false, &lines);
                 self.apply_effects(now);
                 Ok(ControlAnswer::Done(now))
             }
@@ -53,7 +53,7 @@
                 self.apply_effects(now);
                 Ok(ControlAnswer::Done(now))
             }
-            ControlRequest::Recovery { hurry, release } => {
+            ControlRequest::Recovery { stop_waiting, release } => {
                 let Some(recovery) = &self.recovery else {
                     return Err("this gateway has no [recovery] and serves from its start".into());
                 };
@@ -63,9 +63,9 @@
                 {
                     return Err(format!("no unsettled write has the number {number}"));
                 }
-                tracing::warn!(hurry, ?release, phase = ?progress.phase, "recovery overridden by an operator");
+                tracing::warn!(hurry = stop_waiting, ?release, phase = ?progress.phase, "recovery overridden by an operator");
                 self.with_recovery(now, |r, actions| {
-                    if hurry {
+                    if stop_waiting {
                         r.stop_waiting(now, actions);
                     }
                     if let Some(number) = release {
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -13,7 +13,13 @@
 use crate::recovery_driver::{EngineAction, RecoveryDriver};
 
 impl Engine {
-    pub(super) fn apply_node_list(&mut self, now: Micros, whole: bool, remembered: bool, lines: &[NodeLine]) {
+    pub(super) fn apply_node_list(
+        &mut self,
+        now: Micros,
+        replace_all: bool,
+        remembered: bool,
+        lines: &[NodeLine],
+    ) {
         let mut listed = Vec::with_capacity(lines.len());
         for line in lines {
             let node = self.core.node_id(&line.name);
@@ -34,7 +40,7 @@
                 },
             });
         }
-        self.core.nodes(now, whole, remembered, &listed, &mut self.effects);
+        self.core.nodes(now, replace_all, remembered, &listed, &mut self.effects);
     }
 
     pub(super) fn with_recovery(
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -52,7 +52,7 @@
             let state = self.core.look(*id);
             NodeStatus {
                 bound: state.map_or(0.0, |l| l.bound),
-                l: state.map_or(0.0, |l| l.load),
+                latency_ratio: state.map_or(0.0, |l| l.load),
                 waiting: state.map_or(0, |l| l.waiting),
                 silent: state.is_some_and(|l| l.silent),
                 cold: state.is_some_and(|l| l.cold),
@@ -68,7 +68,7 @@
                 served: n.served,
                 unserved: n.unserved,
                 load: n.load,
-                heard: n.heard.unwrap_or(0),
+                last_heard: n.heard.unwrap_or(0),
                 latency: n.latency,
             }
         });
@@ -97,9 +97,9 @@
     pub(super) fn status(&self, now: Micros) -> Status {
         let tally = self.core.tally();
         let gate = self.front_end.gate();
-        let ((connections, rising), (held_commands, held_bytes)) = (gate.connections(), gate.held());
+        let ((connections, handshakes), (held_commands, held_bytes)) = (gate.connections(), gate.held());
         let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
-        let turned_away = refused.map(|(over, n)| (over.to_string(), *n)).collect();
+        let limit_refusals = refused.map(|(over, n)| (over.to_string(), *n)).collect();
         drop(gate);
         Status {
             name: self.options.name.clone(),
@@ -117,12 +117,12 @@
             now,
             stopping: self.stop_deadline.is_some(),
             connections,
-            rising,
+            handshakes,
             hosts,
             held_commands,
             held_bytes,
-            waiting_turn: self.host_queues.len(),
-            turned_away,
+            queued_commands: self.host_queues.len(),
+            limit_refusals,
             open: self.core.open_operations(),
             out: self.core.attempts_out(),
             taken: tally.taken,
@@ -132,8 +132,8 @@
             aborted: tally.aborted,
             withdrawn: tally.withdrawn,
             sent: tally.sent,
-            further: tally.further,
-            late: tally.late,
+            retries: tally.further,
+            late_ends: tally.late,
             causes: self.unserved_causes(),
             reasons: self.core.reasons().iter().map(|(k, n)| ((*k).to_owned(), *n)).collect(),
             recovery: self.recovery.as_ref().map(RecoveryDriver::progress),
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -20,12 +20,14 @@
     /// List the open requests, oldest first.
     Requests {
         /// Most requests to list.
-        most: usize,
+        #[serde(rename = "most")]
+        limit: usize,
     },
     /// Replace the node list, or change some of its lines.
     Nodes {
         /// Whether nodes left out are removed.
-        whole: bool,
+        #[serde(rename = "whole")]
+        replace_all: bool,
         /// The lines.
         lines: Vec<NodeLine>,
     },
@@ -45,8 +47,8 @@
     /// Override the recovery: stop waiting for peers and cold nodes, or release a key without settling it.
     Recovery {
         /// Whether to stop waiting.
-        #[serde(default)]
-        hurry: bool,
+        #[serde(rename = "hurry", default)]
+        stop_waiting: bool,
         /// Number of the key to release.
         #[serde(default)]
         release: Option<u64>,
@@ -116,8 +118,8 @@
     /// Client connections.
     pub connections: usize,
     /// Client connections whose handshake is in progress.
-    #[serde(default)]
-    pub rising: usize,
+    #[serde(rename = "rising", default)]
+    pub handshakes: usize,
     /// Hosts to which the connections belong.
     #[serde(default)]
     pub hosts: usize,
@@ -128,11 +130,11 @@
     #[serde(default)]
     pub held_bytes: u64,
     /// Commands waiting for their host's turn.
-    #[serde(default)]
-    pub waiting_turn: usize,
+    #[serde(rename = "waiting_turn", default)]
+    pub queued_commands: usize,
     /// Connections and commands refused by the gateway's own limits, by limit.
-    #[serde(default)]
-    pub turned_away: std::collections::BTreeMap<String, u64>,
+    #[serde(rename = "turned_away", default)]
+    pub limit_refusals: std::collections::BTreeMap<String, u64>,
     /// Accepted operations that are not answered yet.
     pub open: usize,
     /// Attempts in flight.
@@ -152,9 +154,11 @@
     /// Attempts sent.
     pub sent: u64,
     /// Attempts other than a request's first.
-    pub further: u64,
+    #[serde(rename = "further")]
+    pub retries: u64,
     /// Attempts that ended when they were no longer awaited.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub late_ends: u64,
     /// Unserved operations by reason.
     pub reasons: std::collections::BTreeMap<String, u64>,
     /// Unserved operations by class and cause, as the decision module saw them.
@@ -209,13 +213,15 @@
     /// Requests in progress at the node, as last reported by it.
     pub load: Option<u32>,
     /// Time of its last reply; 0 means never.
-    pub heard: Micros,
+    #[serde(rename = "heard")]
+    pub last_heard: Micros,
     /// Latency of its last answer, in microseconds.
     pub latency: Micros,
     /// The control law's bound on attempts in flight.
     pub bound: f64,
     /// The control law's L: smoothed latency divided by its target.
-    pub l: f64,
+    #[serde(rename = "l")]
+    pub latency_ratio: f64,
     /// Requests waiting for its shard.
     pub waiting: usize,
     /// Whether it has been silent for too long.
--- a/crates/gateway/src/status/control_plane.rs
+++ b/crates/gateway/src/status/control_plane.rs
@@ -14,7 +14,8 @@
     /// Since when it has followed that machine, or had none.
     pub since: Micros,
     /// Whether it has caught up with its machine in all regions, on this connection.
-    pub level: bool,
+    #[serde(rename = "level")]
+    pub caught_up: bool,
     /// Position up to which each region's changes are held.
     pub regions: Vec<RegionStatus>,
     /// Number of live entries.
@@ -24,11 +25,14 @@
     /// Bytes sent to machines since the start.
     pub bytes_out: u64,
     /// Full snapshots received since the start.
-    pub wholes: u64,
+    #[serde(rename = "wholes")]
+    pub snapshots_received: u64,
     /// Messages from machines that were rejected.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_messages: u64,
     /// Whether the whole state is stored on disk.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub stored: bool,
     /// Names of the nodes that entries drain.
     pub drains: Vec<String>,
 }
@@ -55,13 +59,13 @@
             since: look.linked_since.or(look.alone_since).unwrap_or_default(),
             regions: regions.collect(),
             machine: look.machine.map(|machine| machine.0),
-            level: look.level,
+            caught_up: look.level,
             entries: look.entries,
             bytes_in: look.bytes_in,
             bytes_out: look.bytes_out,
-            wholes: look.wholes,
-            turned_away: look.turned_away,
-            kept: look.kept,
+            snapshots_received: look.wholes,
+            rejected_messages: look.turned_away,
+            stored: look.kept,
             drains: drains.iter().cloned().collect(),
         }
     }
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -31,9 +31,11 @@
     /// Suspicions of this gateway that it refuted.
     pub refutations: u64,
     /// Messages from members that were rejected.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_messages: u64,
     /// How often this gateway found that its own process had been suspended.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub suspensions: u64,
 }
 
 /// A member of the fleet.
@@ -99,8 +101,8 @@
             bytes_out: counts.bytes_out,
             standings: counts.standings,
             refutations: counts.refutations,
-            turned_away: counts.turned_away,
-            late: counts.late,
+            rejected_messages: counts.turned_away,
+            suspensions: counts.late,
         }
     }
 }
--- a/crates/gateway/tests/path/bed.rs
+++ b/crates/gateway/tests/path/bed.rs
@@ -90,7 +90,7 @@
         line.state = state;
         let lines = vec![line];
         self.gateway
-            .ask(ControlRequest::Nodes { whole: false, lines })
+            .ask(ControlRequest::Nodes { replace_all: false, lines })
             .expect("the gateway accepts the node list");
     }
 }
--- a/crates/gateway/tests/path/limits.rs
+++ b/crates/gateway/tests/path/limits.rs
@@ -18,7 +18,7 @@
     silent.read_to_end(&mut received).expect("the connection is closed, not left open");
     assert!(received.is_empty());
     bed.wait_until("only the host's connections are left", |s| {
-        (s.connections, s.rising, s.hosts) == (3, 0, 1)
+        (s.connections, s.handshakes, s.hosts) == (3, 0, 1)
     });
     host.read(1, 1, 0, 1, 4096, 1).unwrap();
     served(&bed.answer());
@@ -35,16 +35,16 @@
         s.read(&mut [0; 8]).expect("read the end of the connection") == 0
     };
     let oldest = connect();
-    bed.wait_until("the handshake is in progress", |s| s.rising == 1);
+    bed.wait_until("the handshake is in progress", |s| s.handshakes == 1);
     let (_second, _third) = (connect(), connect());
-    bed.wait_until("three handshakes are in progress", |s| (s.connections, s.rising) == (6, 3));
+    bed.wait_until("three handshakes are in progress", |s| (s.connections, s.handshakes) == (6, 3));
     assert!(closed(&connect()), "a fourth handshake from one address is refused");
-    assert_eq!(bed.status().turned_away["limits.rising_from_address is reached"], 1);
+    assert_eq!(bed.status().limit_refusals["limits.rising_from_address is reached"], 1);
     // A connection from another address: all connections are taken, so the oldest one in its handshake is
     // evicted.
     let mut another = connect_from([127, 0, 0, 2], bed.gateway.address());
     assert!(closed(&oldest));
-    assert!(!bed.status().turned_away.contains_key("limits.connections is reached"));
+    assert!(!bed.status().limit_refusals.contains_key("limits.connections is reached"));
     another.write_all(&[0; 1]).unwrap();
     host.read(1, 1, 0, 1, 4096, 1).unwrap();
     served(&bed.answer());
@@ -98,7 +98,7 @@
     bed.wait_until("all commands are held", |s| (s.held_commands, s.held_bytes) == (20, 20 * 4096));
     host.close();
     bed.wait_until("no command is held any more", |s| {
-        (s.held_commands, s.held_bytes, s.hosts, s.waiting_turn) == (0, 0, 0, 0)
+        (s.held_commands, s.held_bytes, s.hosts, s.queued_commands) == (0, 0, 0, 0)
     });
     bed.nodes[0].fault(Fault::Stall(false));
 }
--- a/crates/gateway/tests/path/nodes.rs
+++ b/crates/gateway/tests/path/nodes.rs
@@ -37,7 +37,7 @@
     host.read(1, 1, 0, 1, 4096, 5).unwrap();
     assert!(matches!(bed.answer().word, Word::Refused(_)));
     bed.nodes[0].fault(Fault::Stall(false));
-    bed.wait_until("the late end is counted", |s| s.late == 1);
+    bed.wait_until("the late end is counted", |s| s.late_ends == 1);
     assert_eq!(bed.answers.try_iter().count(), 0);
 }
 
@@ -109,7 +109,7 @@
     let proxy = CuttingProxy::start(bed.nodes[0].address());
     let lines = vec![bed.site.node_line(0, proxy.address, 0)];
     bed.gateway
-        .ask(ControlRequest::Nodes { whole: false, lines })
+        .ask(ControlRequest::Nodes { replace_all: false, lines })
         .expect("the gateway accepts the node list");
     let up = |s: &Status| s.nodes[0].link == "up" && s.nodes[0].address == proxy.address.to_string();
     bed.wait_until("the connection through the proxy is up", up);
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -198,7 +198,7 @@
                 let Some(index) = self.site.node.iter().position(|n| &n.name == name) else { return Ok(()) };
                 let line = &mut self.lines[index];
                 (line.state, line.started) = (*state, self.nodes[index].status().started);
-                let request = ControlRequest::Nodes { whole: false, lines: vec![line.clone()] };
+                let request = ControlRequest::Nodes { replace_all: false, lines: vec![line.clone()] };
                 if let ControlAnswer::Done(t) = self.gateway.ask(request)? {
                     self.recorder.write(&listed(t, &self.site.gateway[0].name, line));
                 }
--- a/crates/lab/src/feed.rs
+++ b/crates/lab/src/feed.rs
@@ -21,7 +21,7 @@
         let (sender, changes) = mpsc::channel::<(bool, Vec<NodeLine>)>();
         std::thread::spawn(move || {
             for (whole, lines) in changes {
-                let request = ControlRequest::Nodes { whole, lines: lines.clone() };
+                let request = ControlRequest::Nodes { replace_all: whole, lines: lines.clone() };
                 // A gateway that was killed meanwhile has not been told.
                 let Ok(ControlAnswer::Done(t)) = control::call(&control, &request, PATIENCE) else {
                     continue;
