--- a/crates/capacity/src/parts/module.rs
+++ b/crates/capacity/src/parts/module.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use decisions::{Micros, Settings};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Outcome, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode, Outcome};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -47,17 +47,17 @@
             served: 0,
             unserved: 0,
         };
-        stand.dispatcher.nodes(0, true, false, listed);
+        stand.dispatcher.update_nodes(0, true, false, listed);
         stand.carry_out();
         stand
     }
 
     fn carry_out(&mut self) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, .. } => self.out.push_back((self.now + LATENCY, attempt)),
-                Step::Over(..) => self.unserved += 1,
-                Step::Forget(..) | Step::Subscribe | Step::Log(_) => {}
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, .. } => self.out.push_back((self.now + LATENCY, attempt)),
+                Command::EndUnserved(..) => self.unserved += 1,
+                Command::Abandon(..) | Command::Subscribe | Command::Log(_) => {}
             }
         }
     }
@@ -70,7 +70,7 @@
             if let Some(at) = end.filter(|end| due.is_none_or(|due| *end <= due)) {
                 self.now = at;
                 if let Some((_, attempt)) = self.out.pop_front() {
-                    let served = self.dispatcher.ended(at, attempt, Outcome::Served, None);
+                    let served = self.dispatcher.attempt_ended(at, attempt, Outcome::Served, None);
                     self.served += u64::from(served.is_some());
                 }
             } else if let Some(at) = due {
@@ -90,7 +90,7 @@
         for _ in 0..requests {
             self.run_to(self.now + gap);
             let request = site::request(self.nodes, &mut self.rng);
-            self.dispatcher.take(self.now, request, ());
+            self.dispatcher.submit(self.now, request, ());
             self.carry_out();
         }
         self.run_to(self.now + LATENCY);
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -5,13 +5,13 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
-use crate::effect::{Effect, End, Send};
-use crate::operation::{Answer, Operation, Ticket};
-use crate::retry_demand::{RetryDemands, Wanted};
-use crate::views::{EndedView, Tally, VolumeView};
+use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
+use crate::operation::{Answer, Operation, OperationId};
+use crate::retry_demand::{RetryDemand, RetryDemands};
+use crate::views::{OperationCounts, UnservedView, VolumeView};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PieceState {
@@ -45,20 +45,20 @@
 }
 
 /// Payload of a dispatcher request: the operation that it belongs to, and the index of its piece.
-type PieceRef = (Ticket, usize);
+type PieceRef = (OperationId, usize);
 
 /// One gateway's core.
 pub struct Core {
     pub(crate) catalogue: Catalogue,
     pub(crate) dispatcher: Dispatcher<PieceRef>,
     pub(crate) now: Micros,
-    pub(crate) open: HashMap<Ticket, OpenOperation>,
+    pub(crate) open: HashMap<OperationId, OpenOperation>,
     /// Randomizes the tokens generated for operations without one.
     token_salt: u64,
     pub(crate) volume_views: BTreeMap<u32, VolumeView>,
-    pub(crate) tally: Tally,
+    pub(crate) tally: OperationCounts,
     /// The latest operations that ended unserved, oldest first.
-    pub(crate) unserved: VecDeque<EndedView>,
+    pub(crate) unserved: VecDeque<UnservedView>,
     /// Operations that ended unserved, by reason.
     pub(crate) reasons: BTreeMap<&'static str, u64>,
     pub(crate) retry_demands: RetryDemands,
@@ -77,7 +77,7 @@
             open: HashMap::new(),
             token_salt: seed,
             volume_views,
-            tally: Tally::default(),
+            tally: OperationCounts::default(),
             unserved: VecDeque::new(),
             reasons: BTreeMap::new(),
             retry_demands: RetryDemands::default(),
@@ -93,9 +93,9 @@
     /// volume is refused without retry advice.
     pub fn submit(&mut self, now: Micros, operation: Operation, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let ticket = operation.ticket;
+        let id = operation.id;
         let Some(volume) = self.catalogue.volume(operation.nsid) else {
-            effects.push(Effect::Answer(ticket, Answer::Refused { come_back: 0 }));
+            effects.push(Effect::Answer(id, Answer::Refused { come_back: 0 }));
             return;
         };
         let bytes = u64::from(operation.blocks) * u64::from(volume.block_size);
@@ -104,12 +104,12 @@
         let block_size = volume.block_size;
         if let Some(view) = self.volume_views.get_mut(&operation.nsid) {
             view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
-            view.taken += 1;
+            view.accepted += 1;
             view.open += 1;
         }
         let mut pieces = Vec::with_capacity(parts.len());
         for (index, (part, request)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.take(self.now, request, (ticket, index));
+            let request = self.dispatcher.submit(self.now, request, (id, index));
             pieces.push(Piece {
                 request,
                 part,
@@ -118,15 +118,15 @@
                 attempts_possibly_run: 0,
             });
         }
-        self.tally.taken += 1;
+        self.tally.accepted += 1;
         let mut operation = operation;
         let has_client_token = operation.token != 0;
         if !has_client_token {
-            operation.token = self.token_salt ^ (ticket.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            operation.token = self.token_salt ^ (id.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         }
         let accepted_at = self.now;
         self.open.insert(
-            ticket,
+            id,
             OpenOperation {
                 operation,
                 has_client_token,
@@ -137,12 +137,12 @@
                 last_outcome: None,
             },
         );
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Splits an operation into its parts, each with its request.
     fn split(&self, volume: &Volume, operation: &Operation, class: usize) -> Vec<(Part, Request)> {
-        let patience = self.catalogue.rules[class].patience;
+        let patience = self.catalogue.rules[class].timeout;
         volume
             .parts(operation.slba, operation.blocks)
             .into_iter()
@@ -167,33 +167,33 @@
 
     /// Withdraws an operation whose client has gone: it gets no answer and no more attempts. Returns whether
     /// any attempt had been sent.
-    pub fn withdraw(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    pub fn withdraw(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
+        let Some(open) = self.open.get(&id) else { return false };
         let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
-        self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.remove_operation(id);
+        self.carry_out_commands(effects);
         was_sent
     }
 
     /// Aborts an operation if no attempt was sent; returns whether it was aborted. An aborted operation gets
     /// no answer.
-    pub fn abort(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    pub fn abort(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
+        let Some(open) = self.open.get(&id) else { return false };
         if open.pieces.iter().any(|piece| piece.attempts_sent > 0) {
             return false;
         }
         self.tally.aborted += 1;
-        self.remove_operation(ticket);
-        self.carry_out_steps(effects);
+        self.remove_operation(id);
+        self.carry_out_commands(effects);
         true
     }
 
     /// Removes an open operation and withdraws the requests of its unfinished parts.
-    pub(crate) fn remove_operation(&mut self, ticket: Ticket) {
-        let Some(open) = self.open.remove(&ticket) else { return };
+    pub(crate) fn remove_operation(&mut self, id: OperationId) {
+        let Some(open) = self.open.remove(&id) else { return };
         if let Some(view) = self.volume_views.get_mut(&open.operation.nsid) {
             view.open -= 1;
         }
@@ -203,49 +203,55 @@
     }
 
     /// Answers every open operation at shutdown: refused if the client may safely retry it, failed otherwise.
-    pub fn end_all(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    pub fn answer_all_open(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let mut tickets: Vec<Ticket> = self.open.keys().copied().collect();
-        tickets.sort();
-        for ticket in tickets {
-            let Some(open) = self.open.get(&ticket) else { continue };
+        let mut ids: Vec<OperationId> = self.open.keys().copied().collect();
+        ids.sort();
+        for id in ids {
+            let Some(open) = self.open.get(&id) else { continue };
             let answer = if self.retry_is_safe(open) {
                 Answer::Refused { come_back: self.catalogue.settings.most_advice }
             } else {
                 Answer::Failed
             };
-            self.count_unserved(ticket, &answer);
-            self.remove_operation(ticket);
-            effects.push(Effect::Answer(ticket, answer));
+            self.count_unserved(id, &answer);
+            self.remove_operation(id);
+            effects.push(Effect::Answer(id, answer));
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
     /// and otherwise ignored.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        effects: &mut Vec<Effect>,
+    ) {
         self.advance(now);
-        if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
+        if let Some(&(id, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
-            && self.dispatcher.is_out(attempt)
-            && let Some(open) = self.open.get_mut(&ticket)
+            && self.dispatcher.is_in_flight(attempt)
+            && let Some(open) = self.open.get_mut(&id)
         {
             open.last_outcome = Some(end.outcome);
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
             open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
-        let served = self.dispatcher.ended(self.now, attempt, end.outcome, end.load);
-        if let Some((ticket, index)) = served
-            && let Some(open) = self.open.get_mut(&ticket)
+        let served = self.dispatcher.attempt_ended(self.now, attempt, end.outcome, end.load);
+        if let Some((id, index)) = served
+            && let Some(open) = self.open.get_mut(&id)
         {
             open.pieces[index].state = PieceState::Served(end.data);
-            self.answer_if_complete(ticket, effects);
+            self.answer_if_complete(id, effects);
         }
-        self.carry_out_steps(effects);
+        self.carry_out_commands(effects);
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn nodes(
+    pub fn update_nodes(
         &mut self,
         now: Micros,
         whole: bool,
@@ -254,22 +260,22 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.dispatcher.nodes(self.now, whole, remembered, listed);
-        self.carry_out_steps(effects);
+        self.dispatcher.update_nodes(self.now, whole, remembered, listed);
+        self.carry_out_commands(effects);
     }
 
     /// Notifies the scheduler that fetching the node list failed.
-    pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    pub fn node_list_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        self.dispatcher.nodes_failed(self.now);
-        self.carry_out_steps(effects);
+        self.dispatcher.node_list_failed(self.now);
+        self.carry_out_commands(effects);
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
     /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
-    /// its advice, at once or after waiting for a token ([`Core::limit_awaiting`]). A shard without an
+    /// its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without an
     /// allowance is unlimited.
-    pub fn allow(
+    pub fn set_retry_tokens(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -279,15 +285,15 @@
     ) {
         self.advance(now);
         self.retry_demands.set_tokens(shard, further);
-        self.dispatcher.allow(self.now, shard, further, come_back);
-        self.carry_out_steps(effects);
+        self.dispatcher.set_retry_tokens(self.now, shard, further, come_back);
+        self.carry_out_commands(effects);
     }
 
     /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
     /// is set.
-    pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
-        self.dispatcher.limit_awaiting(self.now, shard, most);
+        self.dispatcher.limit_token_waiters(self.now, shard, most);
     }
 
     /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
@@ -297,13 +303,13 @@
 
     /// Returns the parts refused for lack of a retry token since the last call, oldest first; the last 256 at
     /// most.
-    pub fn take_wanted(&mut self) -> VecDeque<Wanted> {
+    pub fn take_retry_demands(&mut self) -> VecDeque<RetryDemand> {
         self.retry_demands.take()
     }
 
     /// Removes the nodes that are gone and unused; returns them.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
-        self.dispatcher.forget_gone()
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
+        self.dispatcher.remove_gone_nodes()
     }
 
     /// Returns the number of a node. An unknown name is assigned the next number.
@@ -320,7 +326,7 @@
     pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         while self.dispatcher.tick(self.now) {
-            self.carry_out_steps(effects);
+            self.carry_out_commands(effects);
         }
     }
 
@@ -329,29 +335,31 @@
         self.now = self.now.max(now);
     }
 
-    /// Carries out the dispatcher's steps until there are none left.
-    fn carry_out_steps(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => self.send(attempt, node, effects),
-                Step::Forget(attempt, node, outcome) => {
-                    if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
-                        && let Some(open) = self.open.get_mut(&ticket)
+    /// Carries out the dispatcher's commands until there are none left.
+    fn carry_out_commands(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => self.send(attempt, node, effects),
+                Command::Abandon(attempt, node, outcome) => {
+                    if let Some(&(id, _)) = self.dispatcher.payload(attempt.request)
+                        && let Some(open) = self.open.get_mut(&id)
                     {
                         open.last_outcome = Some(outcome);
                     }
-                    effects.push(Effect::Forget(attempt, node));
+                    effects.push(Effect::Abandon(attempt, node));
+                }
+                Command::EndUnserved(_, (id, index), verdict) => {
+                    self.end_unserved(id, index, verdict, effects)
                 }
-                Step::Over(_, (ticket, index), verdict) => self.end_unserved(ticket, index, verdict, effects),
-                Step::Subscribe => effects.push(Effect::Subscribe),
-                Step::Log(line) => effects.push(Effect::Log(line)),
+                Command::Subscribe => effects.push(Effect::Subscribe),
+                Command::Log(line) => effects.push(Effect::Log(line)),
             }
         }
     }
 
     fn send(&mut self, attempt: AttemptId, node: NodeId, effects: &mut Vec<Effect>) {
-        let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request) else { return };
-        let Some(open) = self.open.get_mut(&ticket) else { return };
+        let Some(&(id, index)) = self.dispatcher.payload(attempt.request) else { return };
+        let Some(open) = self.open.get_mut(&id) else { return };
         let piece = &mut open.pieces[index];
         piece.attempts_sent += 1;
         piece.attempts_possibly_run += 1;
@@ -363,11 +371,11 @@
             let start = (part.slba - operation.slba) as usize * open.block_size as usize;
             operation.data.slice(start..start + bytes as usize)
         };
-        let further = attempt.n > 0 || operation.retry;
-        if further {
+        let is_retry = attempt.n > 0 || operation.retry;
+        if is_retry {
             self.retry_demands.use_token(part.shard);
         }
-        effects.push(Effect::Send(Send {
+        effects.push(Effect::Send(OutgoingAttempt {
             attempt,
             node,
             opcode: operation.opcode,
@@ -377,7 +385,7 @@
             bytes,
             data,
             shard: part.shard,
-            further,
+            is_retry,
             token: operation.token,
             keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
         }));
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -7,13 +7,13 @@
 use dispatch::NodeView;
 
 use crate::core::{Core, OpenOperation};
-use crate::operation::{Opcode, Ticket};
+use crate::operation::{Opcode, OperationId};
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OperationCounts {
     /// Operations accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Operations served.
     pub served: u64,
     /// Operations refused.
@@ -27,7 +27,7 @@
     /// Attempts sent.
     pub sent: u64,
     /// Attempts sent after a request's first: retries and hedges.
-    pub further: u64,
+    pub retries: u64,
     /// Attempt ends reported after the core had stopped waiting for them.
     pub late: u64,
 }
@@ -38,7 +38,7 @@
     /// Operations that are open.
     pub open: u64,
     /// Operations accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Operations served.
     pub served: u64,
     /// Operations refused.
@@ -51,9 +51,9 @@
 
 /// An open operation.
 #[derive(Clone, Debug)]
-pub struct OpenView {
+pub struct OpenOperationView {
     /// Identifies the operation.
-    pub ticket: Ticket,
+    pub id: OperationId,
     /// Namespace identifier of the volume.
     pub nsid: u32,
     /// Kind of operation.
@@ -61,7 +61,7 @@
     /// Index of its class.
     pub class: usize,
     /// Time at which it was accepted.
-    pub taken: Micros,
+    pub accepted_at: Micros,
     /// Number of attempts sent so far.
     pub attempts: u32,
     /// Nodes with an attempt in flight.
@@ -70,11 +70,11 @@
 
 /// An operation that ended unserved.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndedView {
+pub struct UnservedView {
     /// Time at which it ended.
     pub at: Micros,
     /// Identifies the operation.
-    pub ticket: Ticket,
+    pub id: OperationId,
     /// Namespace identifier of the volume.
     pub nsid: u32,
     /// Kind of operation.
@@ -91,9 +91,9 @@
     pub last: Option<Outcome>,
 }
 
-impl EndedView {
-    /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the gateway's
-    /// status.
+impl UnservedView {
+    /// Returns the reason, as far as it is visible outside of the scheduler. The texts are keys in the
+    /// gateway's status.
     pub fn reason(&self) -> &'static str {
         match (self.attempts, self.last) {
             (0, _) => "held until it would have been late, or its limit",
@@ -110,22 +110,22 @@
 
 impl Core {
     /// Returns the scheduler's view of a node.
-    pub fn look(&self, node: NodeId) -> Option<NodeLook> {
-        self.dispatcher.look(node)
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
+        self.dispatcher.node_snapshot(node)
     }
 
     /// Returns the latest operations that ended unserved, oldest first.
-    pub fn ended_views(&self) -> impl DoubleEndedIterator<Item = &EndedView> {
+    pub fn unserved_views(&self) -> impl DoubleEndedIterator<Item = &UnservedView> {
         self.unserved.iter()
     }
 
     /// Returns the number of requests that ended unserved, by class and by the cause that the scheduler
     /// determined.
-    pub fn causes(&self) -> &BTreeMap<(usize, Cause), u64> {
-        self.dispatcher.unserved()
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
+        self.dispatcher.unserved_by_cause()
     }
 
-    /// Returns the number of operations that ended unserved, by [reason](EndedView::reason).
+    /// Returns the number of operations that ended unserved, by [reason](UnservedView::reason).
     pub fn reasons(&self) -> &BTreeMap<&'static str, u64> {
         &self.reasons
     }
@@ -136,14 +136,14 @@
     }
 
     /// Returns the number of attempts in flight, including those of finished operations.
-    pub fn attempts_out(&self) -> usize {
-        self.dispatcher.out().count()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.dispatcher.attempts_in_flight().count()
     }
 
     /// Returns the counters since the start.
-    pub fn tally(&self) -> Tally {
-        let dispatch::Counts { sent, further, late, .. } = self.dispatcher.counts();
-        Tally { sent, further, late, ..self.tally }
+    pub fn counts(&self) -> OperationCounts {
+        let dispatch::RequestCounts { sent, retries, late, .. } = self.dispatcher.counts();
+        OperationCounts { sent, retries, late, ..self.tally }
     }
 
     /// Returns the known nodes by number.
@@ -157,22 +157,22 @@
     }
 
     /// Returns the open operations, oldest first.
-    pub fn open_views(&self) -> Vec<OpenView> {
+    pub fn open_views(&self) -> Vec<OpenOperationView> {
         let mut nodes: HashMap<RequestId, Vec<NodeId>> = HashMap::new();
-        for (attempt, node) in self.dispatcher.out() {
+        for (attempt, node) in self.dispatcher.attempts_in_flight() {
             nodes.entry(attempt.request).or_default().push(node);
         }
-        let view = |(&ticket, open): (&Ticket, &OpenOperation)| OpenView {
-            ticket,
+        let view = |(&id, open): (&OperationId, &OpenOperation)| OpenOperationView {
+            id,
             nsid: open.operation.nsid,
             opcode: open.operation.opcode,
             class: open.class,
-            taken: open.accepted_at,
+            accepted_at: open.accepted_at,
             attempts: open.pieces.iter().map(|p| p.attempts_sent).sum(),
             nodes: open.pieces.iter().filter_map(|p| nodes.get(&p.request)).flatten().copied().collect(),
         };
-        let mut views: Vec<OpenView> = self.open.iter().map(view).collect();
-        views.sort_by_key(|v| (v.taken, v.ticket));
+        let mut views: Vec<OpenOperationView> = self.open.iter().map(view).collect();
+        views.sort_by_key(|v| (v.accepted_at, v.id));
         views
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 use bytes::Bytes;
 use decisions::*;
-use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, Ticket, Volume};
+use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, OperationId, Volume};
 
 pub fn settings() -> Settings {
     let class = |repeats, in_order| Class {
-        aim: 200_000,
-        aim_stretch: 0.0,
+        latency_target: 200_000,
+        latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
         repeats,
@@ -64,7 +64,7 @@
         name: name.into(),
         opcode,
         max_bytes,
-        patience: 1_000_000,
+        timeout: 1_000_000,
     };
     let rules = vec![
         rule("read", Opcode::Read, None),
@@ -96,11 +96,11 @@
 pub fn core_of(catalogue: Catalogue) -> Core {
     let mut core = Core::new(catalogue, 7);
     let nodes = [node("a", 0, NodeState::On), node("b", 1, NodeState::On)];
-    core.nodes(0, true, false, &nodes, &mut Vec::new());
+    core.update_nodes(0, true, false, &nodes, &mut Vec::new());
     core
 }
 
-pub fn operation(ticket: u64, opcode: Opcode, slba: u64, blocks: u32, data: Bytes) -> Operation {
+pub fn operation(id: u64, opcode: Opcode, slba: u64, blocks: u32, data: Bytes) -> Operation {
     let (retry, client) = (false, None);
-    Operation { ticket: Ticket(ticket), opcode, nsid: 1, slba, blocks, data, token: ticket, retry, client }
+    Operation { id: OperationId(id), opcode, nsid: 1, slba, blocks, data, token: id, retry, client }
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -10,14 +10,14 @@
     Scheduler, Settings, ShardId,
 };
 
-use crate::attempt::{AttemptId, Step, Verdict};
+use crate::attempt::{AttemptId, Command, Verdict};
 use crate::node::{ListedNode, NodeView};
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Requests served.
     pub served: u64,
     /// Requests refused.
@@ -29,7 +29,7 @@
     /// Attempts sent.
     pub sent: u64,
     /// Attempts sent after a request's first: retries and hedges.
-    pub further: u64,
+    pub retries: u64,
     /// Attempt ends reported after the dispatcher had stopped waiting for them.
     pub late: u64,
 }
@@ -60,7 +60,7 @@
 
 /// The requests of one gateway.
 ///
-/// After every other call that takes `&mut self`, call [`Dispatcher::step`] until it returns `None`.
+/// After every other call that takes `&mut self`, call [`Dispatcher::next_command`] until it returns `None`.
 pub struct Dispatcher<P> {
     scheduler: Scheduler,
     now: Micros,
@@ -73,10 +73,10 @@
     node_ids: HashMap<String, NodeId>,
     nodes: BTreeMap<NodeId, NodeView>,
     next_node: u32,
-    counts: Counts,
+    counts: RequestCounts,
     events: VecDeque<Event>,
     actions: VecDeque<Action>,
-    steps: VecDeque<Step<P>>,
+    commands: VecDeque<Command<P>>,
 }
 
 impl<P> Dispatcher<P> {
@@ -93,23 +93,23 @@
             node_ids: HashMap::new(),
             nodes: BTreeMap::new(),
             next_node: 0,
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
             events: VecDeque::new(),
             actions: VecDeque::new(),
-            steps: VecDeque::new(),
+            commands: VecDeque::new(),
         }
     }
 
     /// Accepts a request, which gets exactly one final answer, and assigns its id; the id in `request` is
     /// ignored.
-    pub fn take(&mut self, now: Micros, mut request: Request, payload: P) -> RequestId {
+    pub fn submit(&mut self, now: Micros, mut request: Request, payload: P) -> RequestId {
         self.advance(now);
         let id = RequestId(self.next_request);
         self.next_request += 1;
         request.id = id;
         self.requests
             .insert(id, OpenRequest { payload, deadline: self.now + request.patience, attempts_sent: 0 });
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         self.events.push_back(Event::Request(request));
         id
     }
@@ -125,7 +125,7 @@
     }
 
     /// Whether an attempt is in flight.
-    pub fn is_out(&self, attempt: AttemptId) -> bool {
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.in_flight.contains_key(&attempt)
     }
 
@@ -142,7 +142,7 @@
 
     /// Reports the end of an attempt. Returns the payload if this serves the request, which is then its final
     /// answer. The end of an attempt that is no longer in flight is counted as late and otherwise ignored.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         attempt: AttemptId,
@@ -170,7 +170,7 @@
         let latency = self.now - in_flight.sent_at;
         let served = outcome == Outcome::Served;
         if let Some(view) = self.nodes.get_mut(&in_flight.node) {
-            view.out -= 1;
+            view.in_flight -= 1;
             view.load = load.or(view.load);
             if served {
                 view.served += 1;
@@ -179,7 +179,7 @@
                 view.unserved += 1;
             }
             if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full) {
-                view.heard = Some(self.now);
+                view.last_heard = Some(self.now);
             }
         }
         let settled = served || !self.requests.contains_key(&attempt.request);
@@ -190,7 +190,7 @@
     }
 
     /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
+    pub fn update_nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
         self.advance(now);
         let mut entries = Vec::with_capacity(listed.len());
         if whole {
@@ -214,7 +214,7 @@
     }
 
     /// Notifies the scheduler that fetching the node list failed.
-    pub fn nodes_failed(&mut self, now: Micros) {
+    pub fn node_list_failed(&mut self, now: Micros) {
         self.advance(now);
         self.events.push_back(Event::NodesFailed);
     }
@@ -234,10 +234,10 @@
     /// Removes the nodes that are gone, have no attempt in flight and are no longer known to the scheduler;
     /// returns them. Without this the tables would grow without bound where nodes are replaced by nodes with
     /// new names. The removal costs nothing: a node that comes back is treated as new.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
         let scheduler = &self.scheduler;
         let is_removable = |id: &NodeId, view: &NodeView| {
-            view.state == NodeState::Gone && view.out == 0 && scheduler.look(*id).is_none()
+            view.state == NodeState::Gone && view.in_flight == 0 && scheduler.look(*id).is_none()
         };
         let gone: Vec<NodeId> =
             self.nodes.iter().filter(|(id, view)| is_removable(id, view)).map(|(id, _)| *id).collect();
@@ -269,7 +269,7 @@
                 if let Some(in_flight) = self.in_flight.remove(&attempt) {
                     let outcome =
                         if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::TimedOut };
-                    self.steps.push_back(Step::Forget(attempt, in_flight.node, outcome));
+                    self.commands.push_back(Command::Abandon(attempt, in_flight.node, outcome));
                     self.record_end(attempt, &in_flight, outcome, None);
                 }
             }
@@ -277,12 +277,12 @@
         true
     }
 
-    /// Returns the next step for the caller to carry out, or `None` once nothing is left. The scheduler is
+    /// Returns the next command for the caller to carry out, or `None` once nothing is left. The scheduler is
     /// given one event at a time.
-    pub fn step(&mut self) -> Option<Step<P>> {
+    pub fn next_command(&mut self) -> Option<Command<P>> {
         loop {
-            if let Some(step) = self.steps.pop_front() {
-                return Some(step);
+            if let Some(command) = self.commands.pop_front() {
+                return Some(command);
             }
             if let Some(action) = self.actions.pop_front() {
                 self.apply(action);
@@ -311,15 +311,15 @@
                     self.due.remove(&(in_flight.due, Due::AttemptDeadline(id)));
                     let outcome =
                         if in_flight.awaits_connection { Outcome::NotSent } else { Outcome::Cancelled };
-                    self.steps.push_back(Step::Forget(id, in_flight.node, outcome));
+                    self.commands.push_back(Command::Abandon(id, in_flight.node, outcome));
                     self.record_end(id, &in_flight, outcome, None);
                 }
             }
             Action::SetTimer { after, token } => {
                 self.due.insert((self.now + after, Due::SchedulerTimer(token)));
             }
-            Action::Subscribe => self.steps.push_back(Step::Subscribe),
-            Action::Log(line) => self.steps.push_back(Step::Log(line)),
+            Action::Subscribe => self.commands.push_back(Command::Subscribe),
+            Action::Log(line) => self.commands.push_back(Command::Log(line)),
         }
     }
 
@@ -337,15 +337,15 @@
         let attempt = AttemptId { request, n: open.attempts_sent };
         open.attempts_sent += 1;
         self.counts.sent += 1;
-        self.counts.further += u64::from(attempt.n > 0);
+        self.counts.retries += u64::from(attempt.n > 0);
         let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
         if let Some(view) = self.nodes.get_mut(&node) {
-            view.out += 1;
+            view.in_flight += 1;
             view.sent += 1;
         }
-        self.steps.push_back(Step::Send { attempt, node, due });
+        self.commands.push_back(Command::Send { attempt, node, due });
     }
 
     fn finish(&mut self, request: RequestId, verdict: Verdict) {
@@ -354,26 +354,26 @@
             Verdict::Refused { .. } => self.counts.refused += 1,
             Verdict::Failed => self.counts.failed += 1,
         }
-        self.steps.push_back(Step::Over(request, open.payload, verdict));
+        self.commands.push_back(Command::EndUnserved(request, open.payload, verdict));
     }
 
     /// Returns the scheduler's view of a node.
-    pub fn look(&self, node: NodeId) -> Option<NodeLook> {
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
         self.scheduler.look(node)
     }
 
     /// Returns the number of open requests: those without a final answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Returns the attempts in flight and their nodes, including those of finished requests.
-    pub fn out(&self) -> impl Iterator<Item = (AttemptId, NodeId)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (AttemptId, NodeId)> {
         self.in_flight.iter().map(|(id, in_flight)| (*id, in_flight.node))
     }
 
     /// Returns the counters since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -10,7 +10,7 @@
 use fleet::{NodeSight, Standing};
 use nvme::IoCommand;
 use peer::Told;
-use storage_core::{AttemptId, End, Micros, Send, Ticket};
+use storage_core::{AttemptEnd, AttemptId, Micros, OperationId, OutgoingAttempt};
 
 use super::Engine;
 use crate::retry_cap::{RetryCap, RetryIdentity};
@@ -84,8 +84,8 @@
         let Some(retry_cap) = self.coordination.as_mut().and_then(|c| c.retry_cap.as_mut()) else {
             return false;
         };
-        for wanted in self.core.take_wanted() {
-            retry_cap.tokens_wanted(now, wanted);
+        for demand in self.core.take_retry_demands() {
+            retry_cap.tokens_wanted(now, demand);
         }
         for shortage in self.core.take_shortages() {
             retry_cap.waiting_changed(now, shortage);
@@ -93,9 +93,9 @@
         let Some(allowance) = retry_cap.next_allowance() else { return false };
         let shard = ShardId(allowance.shard);
         if let Some(limit) = retry_cap.new_waiting_limit(allowance.shard) {
-            self.core.limit_awaiting(now, shard, limit);
+            self.core.limit_token_waiters(now, shard, limit);
         }
-        self.core.allow(now, shard, allowance.further, allowance.come_back, &mut self.effects);
+        self.core.set_retry_tokens(now, shard, allowance.further, allowance.come_back, &mut self.effects);
         true
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// Whether any attempt of an unserved operation was sent; assumed when its record is no longer kept.
-    pub(super) fn was_any_attempt_sent(&self, ticket: Ticket) -> bool {
-        self.core.ended_views().rev().find(|e| e.ticket == ticket).is_none_or(|e| e.attempts > 0)
+    pub(super) fn was_any_attempt_sent(&self, id: OperationId) -> bool {
+        self.core.unserved_views().rev().find(|e| e.id == id).is_none_or(|e| e.attempts > 0)
     }
 
     /// An attempt is about to be sent.
-    pub(super) fn report_attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(super) fn report_attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_sent(now, send);
@@ -138,7 +138,7 @@
     }
 
     /// An attempt has ended, as its node connection reports.
-    pub(super) fn report_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(super) fn report_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(retry_cap) = &mut coordination.retry_cap {
             retry_cap.attempt_ended(now, attempt, end.outcome);
@@ -175,9 +175,9 @@
                 Some(*coordination.down_since.entry(*id).or_insert(now))
                     .filter(|since| now - since > SILENCE_THRESHOLD)
             };
-            let state = self.core.look(*id);
+            let state = self.core.node_snapshot(*id);
             let unheard =
-                state.filter(|l| l.silent).map(|_| (now - node.heard.unwrap_or(self.started)).max(1));
+                state.filter(|l| l.silent).map(|_| (now - node.last_heard.unwrap_or(self.started)).max(1));
             let silent_for = down_since.map(|since| now - since).max(unheard).unwrap_or(0);
             let is_cold = state.is_some_and(|l| l.cold);
             let cold_for =
--- a/crates/gateway/src/engine/shadow.rs
+++ b/crates/gateway/src/engine/shadow.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use decisions::{Outcome, ShardId};
 use shadow::ShadowOptions;
-use storage_core::{AttemptId, End, Micros, Opcode, Send};
+use storage_core::{AttemptEnd, AttemptId, Micros, Opcode, OutgoingAttempt};
 
 use super::Engine;
 use crate::coordination::Coordination;
@@ -13,7 +13,7 @@
 
 impl Engine {
     /// Handles the end of a copy.
-    pub(super) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &End) {
+    pub(super) fn on_copy_ended(&mut self, now: Micros, attempt: AttemptId, end: &AttemptEnd) {
         if let Some(trial) = self.coordination.as_mut().and_then(|c| c.trial.as_mut()) {
             trial.on_copy_ended(now, attempt, end);
             self.send_copies(now);
@@ -27,7 +27,8 @@
             return;
         }
         let views = self.core.node_views();
-        let has_waiting = |id: &decisions::NodeId| self.core.look(*id).is_some_and(|l| l.waiting > 0);
+        let has_waiting =
+            |id: &decisions::NodeId| self.core.node_snapshot(*id).is_some_and(|l| l.waiting > 0);
         let is_busy = !self.host_queues.is_empty() || views.keys().any(has_waiting);
         trial.copy_answered_reads(now, is_busy, |node| {
             views.get(&node).map_or(String::new(), |v| v.name.clone())
@@ -62,10 +63,10 @@
                     .get(&node)
                     .filter(|connection| is_allowed && connection.phase() == "up");
                 let Some(connection) = connection else {
-                    trial.on_copy_ended(now, attempt, &End::of(Outcome::NotSent));
+                    trial.on_copy_ended(now, attempt, &AttemptEnd::without_data(Outcome::NotSent));
                     continue;
                 };
-                let send = Send {
+                let send = OutgoingAttempt {
                     attempt,
                     node,
                     opcode: Opcode::Read,
@@ -75,7 +76,7 @@
                     bytes: blocks * size,
                     data: Bytes::new(),
                     shard: ShardId(shard),
-                    further: true,
+                    is_retry: true,
                     // A token of its own, shared with no client command and no other copy.
                     token: attempt.request.0 ^ self.options.seed,
                     keyed: false,
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -3,33 +3,33 @@
 use std::collections::BTreeMap;
 
 use decisions::Cause;
-use storage_core::{EndedView, Micros, OpenView};
+use storage_core::{Micros, OpenOperationView, UnservedView};
 
 use super::Engine;
 use crate::recovery_driver::RecoveryDriver;
 use crate::status::{EndedStatus, NodeStatus, RequestStatus, Status, VolumeStatus};
 
 impl Engine {
-    pub(super) fn request_status(&self, now: Micros, view: OpenView) -> RequestStatus {
+    pub(super) fn request_status(&self, now: Micros, view: OpenOperationView) -> RequestStatus {
         let volume = self.options.catalogue.volume(view.nsid).map_or(String::new(), |v| v.name.clone());
         let nodes = self.core.node_views();
         RequestStatus {
-            id: view.ticket.0,
+            id: view.id.0,
             volume,
-            op: view.opcode.word().to_owned(),
+            op: view.opcode.name().to_owned(),
             class: self.options.catalogue.rules[view.class].name.clone(),
-            age: now - view.taken,
+            age: now - view.accepted_at,
             attempts: view.attempts,
             nodes: view.nodes.iter().filter_map(|n| nodes.get(n)).map(|n| n.name.clone()).collect(),
         }
     }
 
-    pub(super) fn ended_status(&self, operation: &EndedView) -> EndedStatus {
+    pub(super) fn ended_status(&self, operation: &UnservedView) -> EndedStatus {
         EndedStatus {
             at: operation.at,
-            id: operation.ticket.0,
+            id: operation.id.0,
             volume: self.options.catalogue.volume(operation.nsid).map_or(String::new(), |v| v.name.clone()),
-            op: operation.opcode.word().to_owned(),
+            op: operation.opcode.name().to_owned(),
             class: self.options.catalogue.rules[operation.class].name.clone(),
             refused: operation.refused,
             age: operation.age,
@@ -42,14 +42,14 @@
     fn unserved_causes(&self) -> BTreeMap<String, u64> {
         let rules = &self.options.catalogue.rules;
         let label = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
-        self.core.causes().iter().map(|(key, count)| (label(key), *count)).collect()
+        self.core.unserved_by_cause().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
     /// The state of every node.
     fn node_statuses(&self) -> Vec<NodeStatus> {
         let nodes = self.core.node_views().iter().map(|(id, n)| {
             let connection = self.node_connections.get(id);
-            let state = self.core.look(*id);
+            let state = self.core.node_snapshot(*id);
             NodeStatus {
                 bound: state.map_or(0.0, |l| l.bound),
                 latency_ratio: state.map_or(0.0, |l| l.load),
@@ -63,12 +63,12 @@
                 state: n.state.into(),
                 started: n.started.unwrap_or(0),
                 link: connection.map_or("none", |c| c.phase()).to_owned(),
-                out: n.out,
+                out: n.in_flight,
                 sent: n.sent,
                 served: n.served,
                 unserved: n.unserved,
                 load: n.load,
-                last_heard: n.heard.unwrap_or(0),
+                last_heard: n.last_heard.unwrap_or(0),
                 latency: n.latency,
             }
         });
@@ -84,7 +84,7 @@
                 name: v.name.clone(),
                 nsid: v.nsid,
                 open: view.open,
-                taken: view.taken,
+                taken: view.accepted,
                 served: view.served,
                 refused: view.refused,
                 failed: view.failed,
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn status(&self, now: Micros) -> Status {
-        let tally = self.core.tally();
+        let tally = self.core.counts();
         let gate = self.front_end.gate();
         let ((connections, handshakes), (held_commands, held_bytes)) = (gate.connections(), gate.held());
         let (hosts, refused) = (gate.hosts(), gate.turned_away().iter());
@@ -124,15 +124,15 @@
             queued_commands: self.host_queues.len(),
             limit_refusals,
             open: self.core.open_operations(),
-            out: self.core.attempts_out(),
-            taken: tally.taken,
+            out: self.core.attempts_in_flight(),
+            taken: tally.accepted,
             served: tally.served,
             refused: tally.refused,
             failed: tally.failed,
             aborted: tally.aborted,
             withdrawn: tally.withdrawn,
             sent: tally.sent,
-            retries: tally.further,
+            retries: tally.retries,
             late_ends: tally.late,
             causes: self.unserved_causes(),
             reasons: self.core.reasons().iter().map(|(k, n)| ((*k).to_owned(), *n)).collect(),
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::connection::Connection;
 use crate::machine::Machine;
-use crate::sizes::Sizes;
+use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::stall::StallDetector;
 
@@ -42,11 +42,11 @@
 
 /// A command to a running gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Orders {
+pub enum Command {
     /// Use discovery at this address from now on.
-    Discovery(SocketAddr),
+    SetDiscovery(SocketAddr),
     /// Answer all admitted requests, then exit.
-    Leave,
+    ShutDown,
 }
 
 /// A message to the engine. The inbox is bounded: each connection has at most one chunk of input in it.
@@ -72,7 +72,7 @@
         end: End,
     },
     Tick,
-    Command(Orders),
+    Command(Command),
 }
 
 /// A running gateway.
@@ -100,13 +100,13 @@
             let _ = ticks.send(Message::Tick); // The engine ends last.
         })
         .map_err(GatewayError::Start)?;
-        let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
-        let machine = Machine::new(clock.now(), config, sizes);
+        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let machine = Machine::new(clock.now(), config, limits);
         acceptor.start(listener, inbox.clone()).map_err(GatewayError::Start)?;
         let (exit_guard, ended) = thread_mpsc::channel();
         let engine = Engine {
             machine,
-            max_response: sizes.answer,
+            max_response: limits.max_response_bytes,
             clock,
             acceptor,
             inbox: inbox.clone(),
@@ -122,7 +122,7 @@
             drop(exit_guard);
         })
         .map_err(GatewayError::Start)?;
-        tracing::info!(name = config.name, %address, ?sizes, "gateway up");
+        tracing::info!(name = config.name, %address, sizes = ?limits, "gateway up");
         Ok(Gateway { address, inbox: Mutex::new(inbox), ended: Mutex::new(Some(ended)) })
     }
 
@@ -132,9 +132,9 @@
     }
 
     /// Sends a command to the gateway.
-    pub fn tell(&self, orders: Orders) {
+    pub fn send(&self, command: Command) {
         let inbox = self.inbox.lock().unwrap_or_else(|p| p.into_inner());
-        let _ = inbox.send(Message::Command(orders)); // The gateway may have exited.
+        let _ = inbox.send(Message::Command(command)); // The gateway may have exited.
     }
 
     /// Waits until the gateway has exited.
@@ -171,7 +171,7 @@
             stall_detector.begin_iteration(now);
             self.machine.tick(now);
             self.perform_outputs(now);
-            if self.machine.is_over() {
+            if self.machine.is_finished() {
                 self.log_unanswered();
                 return tracing::info!("{}; all is answered", self.machine.summary());
             }
@@ -223,7 +223,7 @@
     }
 
     fn log_unanswered(&mut self) {
-        self.machine.take_unanswered().iter().for_each(|line| tracing::info!("{line}"));
+        self.machine.take_unanswered_lines().iter().for_each(|line| tracing::info!("{line}"));
     }
 
     fn handle_message(&mut self, message: Message) {
@@ -231,20 +231,24 @@
         match message {
             Message::Tick => return,
             Message::Accepted(stream) => self.accepted(now, stream),
-            Message::NotAccepted => self.machine.not_accepted(),
-            Message::Shut => self.machine.shut(),
-            Message::Up { socket, serial } if self.is_current(socket, serial) => self.machine.up(now, socket),
+            Message::NotAccepted => self.machine.accept_failed(),
+            Message::Shut => self.machine.listener_closed(),
+            Message::Up { socket, serial } if self.is_current(socket, serial) => {
+                self.machine.connection_established(now, socket)
+            }
             Message::Bytes { socket, serial, at, bytes } if self.is_current(socket, serial) => {
                 self.machine.received(now, socket, at, &bytes);
             }
             Message::Ended { socket, serial, end } if self.is_current(socket, serial) => {
                 self.connections.remove(&socket);
-                self.machine.ended(now, socket, end);
+                self.machine.connection_ended(now, socket, end);
             }
             Message::Ended { socket, .. } => return self.descriptor_released(socket),
             Message::Up { .. } | Message::Bytes { .. } => return,
-            Message::Command(Orders::Discovery(address)) => self.machine.reconfigured(now, address),
-            Message::Command(Orders::Leave) => self.machine.leave(now),
+            Message::Command(Command::SetDiscovery(address)) => {
+                self.machine.set_discovery_address(now, address)
+            }
+            Message::Command(Command::ShutDown) => self.machine.shut_down(now),
         }
         self.perform_outputs(now);
     }
@@ -294,12 +298,12 @@
             Ok((connection, connecting)) => {
                 self.connections.insert(socket, connection);
                 if is_outgoing && !connecting {
-                    self.machine.up(now, socket);
+                    self.machine.connection_established(now, socket);
                 }
             }
             Err(error) => {
                 tracing::debug!(?socket, %error, "cannot open the connection");
-                self.machine.ended(now, socket, End::Cut);
+                self.machine.connection_ended(now, socket, End::Cut);
             }
         }
     }
@@ -307,7 +311,7 @@
     /// Performs the machine's operations until there are none left.
     fn perform_outputs(&mut self, now: Micros) {
         loop {
-            let outputs: Vec<Output> = self.machine.drain().collect();
+            let outputs: Vec<Output> = self.machine.drain_outputs().collect();
             if outputs.is_empty() {
                 return;
             }
@@ -325,34 +329,34 @@
                 self.start_reader(now, socket, connection, true);
             }
             Output::Write(socket, bytes) => self.queue_output(socket, &bytes),
-            Output::Reuse(socket, bytes) => {
+            Output::WriteIfIdle(socket, bytes) => {
                 if self.connections.get(&socket).is_some_and(|connection| connection.has_no_input()) {
                     return self.queue_output(socket, &bytes);
                 }
                 self.close(socket);
-                self.machine.stale(now, socket);
+                self.machine.idle_write_rejected(now, socket);
             }
-            Output::Finish(socket) => {
+            Output::ShutdownWrite(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
                     connection.outlet.finish_writing();
                 }
             }
-            Output::Part(socket) => {
+            Output::ShutdownWriteIfNoInput(socket) => {
                 let without_input = self.connections.get(&socket).filter(|c| c.has_no_input());
                 if let Some(connection) = without_input {
                     connection.outlet.finish_writing();
                 }
                 let done = without_input.is_some();
-                self.machine.parted(now, socket, done);
+                self.machine.shutdown_write_result(now, socket, done);
             }
-            Output::GiveWay(socket) => {
+            Output::CloseIfIdle(socket) => {
                 let done = self.connections.get(&socket).is_none_or(|c| c.is_idle());
                 if done {
                     self.close(socket);
                 }
-                self.machine.gave_way(now, socket, done);
+                self.machine.close_result(now, socket, done);
             }
-            Output::Cut(socket) => {
+            Output::CloseIfUnsent(socket) => {
                 if let Some(connection) =
                     self.connections.get(&socket).filter(|c| c.outlet.is_pending()).cloned()
                 {
@@ -360,11 +364,11 @@
                     // Reported as unsent only if the write certainly didn't complete; otherwise the rest may
                     // have gone out in this moment.
                     let end = if connection.outlet.was_cut() { End::Cut } else { End::Broken };
-                    self.machine.ended(now, socket, end);
+                    self.machine.connection_ended(now, socket, end);
                 }
             }
             Output::Close(socket) => self.close(socket),
-            Output::Resume(socket) => {
+            Output::ResumeReading(socket) => {
                 if let Some(connection) = self.connections.get(&socket) {
                     connection.resume();
                 }
@@ -374,7 +378,7 @@
                     self.acceptor.issue_permit();
                 }
             }
-            Output::Unlisten => self.acceptor.close(),
+            Output::StopListening => self.acceptor.close(),
         }
     }
 }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
-use dispatch::{AttemptId, Dispatcher, Step, Verdict};
+use dispatch::{AttemptId, Command, Dispatcher, Verdict};
 use http1::{Incoming, Limits, Request};
 use profile::Service;
 
@@ -23,7 +23,7 @@
 use crate::endpoint::{EndpointList, Zones};
 use crate::node_connections::{ConnectionChoice, ConnectionUpdate, NodeConnections};
 use crate::outcome::load_of;
-use crate::sizes::Sizes;
+use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::unanswered::{AttemptRecords, Cause, Unanswered, UnansweredLog};
 
@@ -86,12 +86,12 @@
 
 /// The state machine of one gateway.
 ///
-/// After every call, [`Machine::drain`] returns the operations to perform.
+/// After every call, [`Machine::drain_outputs`] returns the operations to perform.
 pub struct Machine {
     service: Service,
     cancel_attempts: bool,
     settings: decisions::Settings,
-    sizes: Sizes,
+    limits: ResourceLimits,
     dispatcher: Dispatcher<Pending>,
     clients: HashMap<u64, Client>,
     client_timers: ClientTimers,
@@ -127,25 +127,25 @@
 impl Machine {
     /// Creates the state of a gateway that has just started and knows the nodes remembered in its
     /// configuration.
-    pub fn new(now: Micros, config: &Config, sizes: Sizes) -> Self {
+    pub fn new(now: Micros, config: &Config, limits: ResourceLimits) -> Self {
         let idle_timeout = config.service.idle.unwrap_or(Micros::MAX / 8) / IDLE_FRACTION.1 * IDLE_FRACTION.0;
         let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
             cancel_attempts: config.settings.cancel,
             settings: config.settings.clone(),
-            sizes,
+            limits,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
             clients: HashMap::new(),
             client_timers: ClientTimers::default(),
             newest_client: 0,
             open_request_ids: HashSet::new(),
             connections: NodeConnections::new(
-                Limits { body: sizes.answer, ..MESSAGE_LIMITS },
+                Limits { body: limits.max_response_bytes, ..MESSAGE_LIMITS },
                 idle_timeout,
                 connect_timeout,
-                sizes.links,
-                sizes.answers,
+                limits.node_connections,
+                limits.max_buffered_response_bytes,
             ),
             nodes: HashMap::new(),
             gone_nodes: BTreeSet::new(),
@@ -176,7 +176,7 @@
     }
 
     /// Returns the pending operations, in the order in which they are to be performed.
-    pub fn drain(&mut self) -> std::vec::Drain<'_, Output> {
+    pub fn drain_outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outputs.drain(..)
     }
 
@@ -200,20 +200,22 @@
     }
 
     /// Whether shutdown is complete: the listener is closed and no client connection is left.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.listener_closed && self.clients.is_empty()
     }
 
     /// Returns the number of requests without a final response.
-    pub fn open(&self) -> usize {
-        self.dispatcher.open()
+    pub fn open_requests(&self) -> usize {
+        self.dispatcher.open_requests()
     }
 
     /// Returns the number of entries in all tables except the log lines not taken yet. Tests use it to find
     /// leaks.
-    pub fn held(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         let nodes = self.dispatcher.node_views().len() + self.nodes.len();
-        let requests = self.dispatcher.open() + self.dispatcher.out().count() + self.open_request_ids.len();
+        let requests = self.dispatcher.open_requests()
+            + self.dispatcher.attempts_in_flight().count()
+            + self.open_request_ids.len();
         self.clients.len()
             + self.client_timers.len()
             + nodes
@@ -223,7 +225,7 @@
     }
 
     /// Returns log lines on the requests that ended without a final response since the last call.
-    pub fn take_unanswered(&mut self) -> Vec<String> {
+    pub fn take_unanswered_lines(&mut self) -> Vec<String> {
         self.unanswered.take_lines()
     }
 
@@ -246,18 +248,18 @@
     ///
     /// Without a free descriptor, a permit issued at once would fail at once again and the gateway would do
     /// nothing else. The cost is that the next client waits for up to [`SWEEP_INTERVAL`].
-    pub fn not_accepted(&mut self) {
+    pub fn accept_failed(&mut self) {
         (self.accept_wanted, self.out_of_descriptors) = (true, true);
     }
 
     /// Notes that the listener's queue has been accepted and the listener is closed. Exiting before that
     /// would lose connections which the system has already accepted.
-    pub fn shut(&mut self) {
+    pub fn listener_closed(&mut self) {
         self.listener_closed = true;
     }
 
     /// Handles a connection that has been established.
-    pub fn up(&mut self, now: Micros, socket: SocketId) {
+    pub fn connection_established(&mut self, now: Micros, socket: SocketId) {
         match socket {
             SocketId::Client(_) => {}
             SocketId::Node(id) => {
@@ -278,15 +280,15 @@
     /// A node may close a connection, or send more than its response, right after responding; a request
     /// written then is lost with the connection and may still have run. The attempt was never sent, so it
     /// takes another connection.
-    pub fn stale(&mut self, now: Micros, socket: SocketId) {
+    pub fn idle_write_rejected(&mut self, now: Micros, socket: SocketId) {
         let SocketId::Node(id) = socket else { return };
         if let Some((attempt, node)) = self.connections.take_unusable(id) {
             self.send_attempt(now, attempt, node);
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
     }
 
-    /// Handles bytes read from a connection at `at`; more is read after [`Output::Resume`].
+    /// Handles bytes read from a connection at `at`; more is read after [`Output::ResumeReading`].
     pub fn received(&mut self, now: Micros, socket: SocketId, at: Micros, bytes: &[u8]) {
         match socket {
             SocketId::Client(id) => return self.client_received(now, id, at, bytes),
@@ -299,11 +301,11 @@
                 self.run_discovery_steps(now, steps);
             }
         }
-        self.outputs.push(Output::Resume(socket));
+        self.outputs.push(Output::ResumeReading(socket));
     }
 
     /// Handles a connection that ended or could not be established.
-    pub fn ended(&mut self, now: Micros, socket: SocketId, end: End) {
+    pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: End) {
         self.out_of_descriptors = false;
         match socket {
             SocketId::Client(id) => self.client_ended(now, id, end),
@@ -331,7 +333,7 @@
             remaining.into_iter().for_each(|id| self.close_client(now, id));
         }
         while self.dispatcher.tick(now) {
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
         while let Some((id, update)) = self.connections.tick(now) {
             self.apply_update(now, id, update, false);
@@ -344,7 +346,7 @@
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP_INTERVAL;
             self.out_of_descriptors = false;
-            for node in self.dispatcher.forget_gone() {
+            for node in self.dispatcher.remove_gone_nodes() {
                 self.nodes.remove(&node);
                 self.gone_nodes.remove(&node);
                 let idle = self.connections.forget_node(node);
@@ -356,14 +358,14 @@
             && now >= since + ACCEPT_AFTER_SIGTERM
         {
             self.stop_listening_sent = true;
-            self.outputs.push(Output::Unlisten);
+            self.outputs.push(Output::StopListening);
         }
         self.make_room(now);
     }
 
     /// Switches to another discovery address. The previous watch is followed until the new one has delivered
     /// something.
-    pub fn reconfigured(&mut self, now: Micros, discovery: SocketAddr) {
+    pub fn set_discovery_address(&mut self, now: Micros, discovery: SocketAddr) {
         let steps = self.discovery.set_address(now, discovery);
         self.run_discovery_steps(now, steps);
         self.tick(now);
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -11,7 +11,7 @@
                 return self.close_client(now, id);
             }
             lingering.bytes_left -= bytes.len();
-            return self.outputs.push(Output::Resume(SocketId::Client(id)));
+            return self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
         }
         if client.open_request.is_some()
             && (client.discarded_bytes > 0 || client.decoder.held() + bytes.len() > MAX_PIPELINED_BYTES)
@@ -30,7 +30,7 @@
         client.decoder.receive(bytes);
         client.arrivals.record(bytes.len(), at);
         // Reading resumes first, so that these bytes no longer count as unprocessed input.
-        self.outputs.push(Output::Resume(SocketId::Client(id)));
+        self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
         self.handle_buffered_requests(now, id);
     }
 
@@ -50,7 +50,7 @@
             let message = Bytes::from_static(b"too much was sent behind an open request\n");
             self.write_response(now, id, 400, &[], message, false);
         }
-        self.outputs.push(Output::Resume(SocketId::Client(id)));
+        self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
     }
 
     /// Handles the requests in a client's buffer, one at a time.
@@ -105,7 +105,7 @@
             request_for_decisions.patience = request_for_decisions.patience.min(shutdown - now).max(0);
         }
         let deadline = now + request_for_decisions.patience;
-        let request = self.dispatcher.take(
+        let request = self.dispatcher.submit(
             now,
             request_for_decisions,
             Pending { client: id, admitted, received_at, deadline, attempts: AttemptRecords::default() },
@@ -114,13 +114,13 @@
             client.open_request = Some((request, keep));
             self.client_timers.remove(client, id);
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     /// Handles a client connection's timer: no whole request came in time, it was idle for too long, or
     /// its lingering close is due.
     pub(super) fn client_timer_due(&mut self, now: Micros, id: u64) {
-        let slots_short = self.accept_wanted && self.clients.len() >= self.sizes.clients;
+        let slots_short = self.accept_wanted && self.clients.len() >= self.limits.client_connections;
         let Some(client) = self.clients.get_mut(&id) else { return };
         if client.open_request.is_some() {
             return;
@@ -129,7 +129,7 @@
             if now >= lingering.close_at {
                 return self.close_client(now, id);
             }
-            return self.outputs.push(Output::GiveWay(SocketId::Client(id)));
+            return self.outputs.push(Output::CloseIfIdle(SocketId::Client(id)));
         }
         // Connections without a complete request would hold a descriptor for ever, and where slots are short
         // keep out other clients with the same claim. The cost is that a client which takes longer than its
@@ -151,15 +151,15 @@
     pub(super) fn close_if_quiet(&mut self, now: Micros, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         self.client_timers.set(client, id, now + LINGER);
-        self.outputs.push(Output::Part(SocketId::Client(id)));
+        self.outputs.push(Output::ShutdownWriteIfNoInput(SocketId::Client(id)));
     }
 
-    /// Reports the result of [`Output::Part`]; `done` is false if the connection has unread input, which will
-    /// be delivered.
+    /// Reports the result of [`Output::ShutdownWriteIfNoInput`]; `done` is false if the connection has unread
+    /// input, which will be delivered.
     ///
     /// If the connection were closed with a request unread, that request would be lost, or forwarded after
     /// the connection was closed. It is answered instead, and the connection's timer runs again.
-    pub fn parted(&mut self, now: Micros, socket: SocketId, done: bool) {
+    pub fn shutdown_write_result(&mut self, now: Micros, socket: SocketId, done: bool) {
         let SocketId::Client(id) = socket else { return };
         if done && let Some(client) = self.clients.get_mut(&id) {
             Self::start_lingering(now, client);
@@ -170,13 +170,13 @@
         client.lingering = Some(Lingering { bytes_left: LINGER_BYTES, close_at: now + KEEP_ALIVE });
     }
 
-    /// Reports the result of [`Output::GiveWay`]; `done` is false if input is unread or output is pending.
+    /// Reports the result of [`Output::CloseIfIdle`]; `done` is false if input is unread or output is pending.
     ///
     /// Closing a connection with unread bytes resets it, and the response before it may be lost together with
     /// what the system still holds; a request that has just arrived may be lost the same way. The cost is
     /// that others wait for a slot until the input is handled, and that a client which doesn't read its
     /// response keeps its slot for [`KEEP_ALIVE`].
-    pub fn gave_way(&mut self, now: Micros, socket: SocketId, done: bool) {
+    pub fn close_result(&mut self, now: Micros, socket: SocketId, done: bool) {
         let SocketId::Client(id) = socket else { return };
         if done {
             return self.forget_client(now, id);
@@ -227,7 +227,7 @@
         if !self.accept_wanted || self.out_of_descriptors {
             return;
         }
-        if self.clients.len() >= self.sizes.clients {
+        if self.clients.len() >= self.limits.client_connections {
             let may_close = |c: &Client| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
             let can_close = |c: &Client| {
                 !c.close_declined && (c.lingering.is_some() || c.is_idle() && (!c.served || may_close(c)))
@@ -239,7 +239,7 @@
                 self.queue_blocked_since.get_or_insert(now);
                 return;
             };
-            return self.outputs.push(Output::GiveWay(SocketId::Client(id)));
+            return self.outputs.push(Output::CloseIfIdle(SocketId::Client(id)));
         }
         (self.accept_wanted, self.permit_issued_at) = (false, now);
         self.outputs.push(Output::Accept);
@@ -270,7 +270,8 @@
     /// Clients that ask once and keep their connection would hold slots on which nothing is asked, and the
     /// next requests would find none. The cost is that clients open more connections than they need.
     pub(super) fn is_crowded(&self) -> bool {
-        self.clients.len() >= self.sizes.clients - self.sizes.clients / CROWDED_DIVISOR
+        self.clients.len()
+            >= self.limits.client_connections - self.limits.client_connections / CROWDED_DIVISOR
     }
 
     pub(super) fn write_response(
@@ -302,7 +303,7 @@
         } else {
             Self::start_lingering(now, client);
             self.client_timers.set(client, id, now + LINGER);
-            self.outputs.push(Output::Finish(socket));
+            self.outputs.push(Output::ShutdownWrite(socket));
         }
     }
 }
--- a/crates/platform/src/socket.rs
+++ b/crates/platform/src/socket.rs
@@ -35,24 +35,24 @@
     /// Write bytes, immediately as far as the socket accepts them.
     Write(SocketId, Bytes),
     /// Write on an idle connection, if no data and no end has arrived on it meanwhile; otherwise close it,
-    /// write nothing and report that by [`crate::Machine::stale`].
-    Reuse(SocketId, Bytes),
+    /// write nothing and report that by [`crate::Machine::idle_write_rejected`].
+    WriteIfIdle(SocketId, Bytes),
     /// Shut down the writing side once all output is written.
-    Finish(SocketId),
+    ShutdownWrite(SocketId),
     /// Shut down the writing side unless input is unread. The result is reported by
-    /// [`crate::Machine::parted`].
-    Part(SocketId),
+    /// [`crate::Machine::shutdown_write_result`].
+    ShutdownWriteIfNoInput(SocketId),
     /// Close unless input is unread or output is pending. The result is reported by
-    /// [`crate::Machine::gave_way`].
-    GiveWay(SocketId),
+    /// [`crate::Machine::close_result`].
+    CloseIfIdle(SocketId),
     /// Close if output is pending, and report the connection's end.
-    Cut(SocketId),
+    CloseIfUnsent(SocketId),
     /// Close at once, without reporting the connection's end.
     Close(SocketId),
     /// Resume reading.
-    Resume(SocketId),
+    ResumeReading(SocketId),
     /// Accept one more connection.
     Accept,
     /// Accept the connections already queued, then stop listening.
-    Unlisten,
+    StopListening,
 }
--- a/crates/platform/tests/agent/mod.rs
+++ b/crates/platform/tests/agent/mod.rs
@@ -83,7 +83,7 @@
         let mut config = config(address(1), 512, &node_list(KNOWN_REVISION, true, &members));
         (config.seed, config.settings.drain_grace) = (seed, grace);
         let mut simulation = AgentSimulation {
-            gateway: TestGateway::from_config(&config, LARGE_SIZES),
+            gateway: TestGateway::from_config(&config, LARGE_LIMITS),
             schedule,
             ready: true,
             revision: KNOWN_REVISION,
@@ -268,7 +268,7 @@
                 self.address += 1;
                 let old: Vec<SocketId> = self.calls.keys().copied().collect();
                 old.into_iter().for_each(|c| self.schedule_after(OLD_WATCH_CLOSE_DELAY, Event::End(c)));
-                self.gateway.machine.reconfigured(self.gateway.now, address(self.address));
+                self.gateway.machine.set_discovery_address(self.gateway.now, address(self.address));
                 self.gateway.perform_outputs();
             }
             Event::Established(_) | Event::EmptyLine(_) | Event::SendChanges(_) => {}
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{Sizes, SocketId};
+use platform::{ResourceLimits, SocketId};
 
 #[test]
 fn timeout_counts_from_the_requests_last_byte() {
@@ -109,7 +109,7 @@
         let statuses = gateway.take_statuses(client);
         assert!(matches!(statuses[..], [400..=428 | 430..=499 | 501 | 505]), "{what}: {statuses:?}");
         assert!(gateway.connecting_to_nodes().is_empty(), "{what}: it reached a node");
-        assert_eq!(gateway.machine.open(), 0, "{what}: it was admitted");
+        assert_eq!(gateway.machine.open_requests(), 0, "{what}: it was admitted");
     }
 }
 
@@ -122,7 +122,7 @@
     gateway.receive(client, outer);
     gateway.receive(client, read_request("after", 0));
     gateway.advance(3_000_000);
-    assert!(gateway.connecting_to_nodes().is_empty() && gateway.machine.open() == 0);
+    assert!(gateway.connecting_to_nodes().is_empty() && gateway.machine.open_requests() == 0);
     assert_eq!(gateway.take_statuses(client), [400]);
     assert!(gateway.finished.contains(&client) && gateway.closed.contains(&client));
 }
@@ -239,7 +239,7 @@
 #[test]
 fn an_idle_connection_closes_before_new_ones_without_a_request() {
     let mut gateway = TestGateway::with_list(
-        Sizes { clients: 4, ..LARGE_SIZES },
+        ResourceLimits { client_connections: 4, ..LARGE_LIMITS },
         &node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]),
     );
     let old = gateway.connect_client();
@@ -254,7 +254,7 @@
 #[test]
 fn no_connection_is_accepted_until_a_slot_is_free() {
     let mut gateway = TestGateway::with_list(
-        Sizes { clients: 2, links: 8, ..LARGE_SIZES },
+        ResourceLimits { client_connections: 2, node_connections: 8, ..LARGE_LIMITS },
         &node_list(1, true, &[list_entry("a", address(100), 0, "in_service")]),
     );
     let (one, two) = (gateway.connect_client(), gateway.connect_client());
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use bytes::Bytes;
-use platform::{Machine, Output, Sizes, SocketId};
+use platform::{Machine, Output, ResourceLimits, SocketId};
 
 use super::conn::Peer;
 use super::{AT_ONCE, COUNTED, Event, KILLED, NEAR, WAY, World};
@@ -116,8 +116,8 @@
         gateway.learning.begin(now, known, &self.changes, back);
         let known = self.register.whole(known);
         let config = config(&self.scenario, g, gateway.life, &known);
-        let sizes = Sizes::of(config.limits.sockets, config.limits.memory_mb);
-        gateway.machine = Some(Machine::new(now, &config, sizes));
+        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        gateway.machine = Some(Machine::new(now, &config, limits));
         gateway.listening = true;
         gateway.due = Micros::MAX;
         self.drive(g);
@@ -149,7 +149,7 @@
         let now = self.line.now();
         let gateway = &mut self.gateways[g];
         let Some(machine) = &mut gateway.machine else { return };
-        machine.leave(now);
+        machine.shut_down(now);
         gateway.left = Some(now);
         let life = gateway.life;
         let killed =
@@ -179,7 +179,7 @@
         let now = self.line.now();
         loop {
             let Some(machine) = &mut self.gateways[g].machine else { return };
-            let outputs: Vec<Output> = machine.drain().collect();
+            let outputs: Vec<Output> = machine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
@@ -190,8 +190,8 @@
         }
         let gateway = &mut self.gateways[g];
         let Some(machine) = &gateway.machine else { return };
-        self.tally.most_held = self.tally.most_held.max(machine.held());
-        if machine.is_over() {
+        self.tally.most_held = self.tally.most_held.max(machine.table_entries());
+        if machine.is_finished() {
             return self.kill(g);
         }
         let due = machine.next_due();
@@ -250,30 +250,30 @@
             }
             Output::Connect(socket, _) => self.call(g, socket),
             Output::Write(socket, bytes) => self.write(g, socket, bytes),
-            Output::Reuse(socket, bytes) => {
+            Output::WriteIfIdle(socket, bytes) => {
                 if self.gateways[g].sockets.contains_key(&socket) {
                     self.write(g, socket, bytes);
                 } else if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.stale(now, socket);
+                    machine.idle_write_rejected(now, socket);
                 }
             }
             // In the world nothing stands unread, and what is written has gone out.
-            Output::Part(socket) => {
-                self.output(g, Output::Finish(socket));
+            Output::ShutdownWriteIfNoInput(socket) => {
+                self.output(g, Output::ShutdownWrite(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.parted(now, socket, true);
+                    machine.shutdown_write_result(now, socket, true);
                 }
             }
-            Output::GiveWay(socket) => {
+            Output::CloseIfIdle(socket) => {
                 self.output(g, Output::Close(socket));
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.gave_way(now, socket, true);
+                    machine.close_result(now, socket, true);
                 }
             }
-            Output::Cut(_) => {}
-            Output::Finish(_) if self.ends_late(g) => {}
+            Output::CloseIfUnsent(_) => {}
+            Output::ShutdownWrite(_) if self.ends_late(g) => {}
             Output::Close(SocketId::Client(_)) if self.ends_late(g) => {}
-            Output::Finish(socket) => {
+            Output::ShutdownWrite(socket) => {
                 if let Some(&conn) = self.gateways[g].sockets.get(&socket) {
                     self.line.plan(NEAR, Event::EndAtClient(conn));
                 }
@@ -290,15 +290,15 @@
                     self.drop_conn(conn);
                 }
             }
-            Output::Resume(_) => {}
+            Output::ResumeReading(_) => {}
             Output::Accept => self.gateways[g].leaves += 1,
-            Output::Unlisten => {
+            Output::StopListening => {
                 self.gateways[g].listening = false;
                 while let Some(conn) = self.gateways[g].waiting.pop_front() {
                     self.accept(g, now, conn);
                 }
                 if let Some(machine) = &mut self.gateways[g].machine {
-                    machine.shut();
+                    machine.listener_closed();
                 }
             }
         }
