--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! Clients' commands: taken, turned away, aborted, answered.
 
 use nvme::{Completion, IoCommand, Status as NvmeStatus, StatusCode};
-use repeats::key_of_host;
+use repeats::host_request_key;
 use storage_core::{Answer, ClientId, Micros, Opcode, Operation, Ticket};
 
 use super::{Client, Engine, Taken};
@@ -59,7 +59,7 @@
         let expected = compares.then(|| std::mem::take(&mut data));
         self.tickets.insert(ticket, Taken { connection: id, cid, bytes, expected, asked });
         let retry = asked.is_some_and(|a| a.is_repeat);
-        let client = (!host.is_empty()).then(|| ClientId(key_of_host(&host, 0)));
+        let client = (!host.is_empty()).then(|| ClientId(host_request_key(&host, 0)));
         let operation = Operation { ticket, opcode, nsid, slba, blocks, data, token, retry, client };
         self.core.submit(now, operation, &mut self.effects);
     }
--- a/crates/gateway/src/rights.rs
+++ b/crates/gateway/src/rights.rs
@@ -9,8 +9,8 @@
 use nvme::IoCommand;
 use peer::{PeerName, Told};
 use repeats::{
-    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState, key_of,
-    key_of_host,
+    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState,
+    host_request_key, request_key,
 };
 use storage_core::{AttemptId, Micros, Send, Shortage, Wanted};
 
@@ -92,7 +92,7 @@
     /// Danger: a block that many hosts read is refused to one of them, and the reads of all others count as repeats. Harm: a host that
     /// comes again under another name is not known.
     pub(crate) fn key(host: &str, command: &IoCommand) -> u64 {
-        key_of_host(host, key_of(command.nsid, command.slba, command.opcode, command.blocks))
+        host_request_key(host, request_key(command.nsid, command.slba, command.opcode, command.blocks))
     }
 
     /// Whether a command like this ended unserved within the window, here or at a peer.
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -38,7 +38,7 @@
     },
     /// A request ended here unserved: a later one with the same key, here or at a peer, is its repeat.
     Unserved {
-        /// Its key, from [`crate::key_of`].
+        /// Its key, from [`crate::request_key`].
         key: u64,
     },
     /// A request was rejected for lack of tokens.
--- a/crates/repeats/src/key.rs
+++ b/crates/repeats/src/key.rs
@@ -9,7 +9,7 @@
 /// key by chance once in 2^64. Two requests for the same blocks of the same class always share it, so
 /// the second is taken for a repeat of the first if the first ended unserved within the window. Errors
 /// are therefore only towards *repeat*.
-pub fn key_of(volume: u32, key: u64, class: u8, units: u32) -> u64 {
+pub fn request_key(volume: u32, key: u64, class: u8, units: u32) -> u64 {
     let mut bytes = [0; 17];
     bytes[..4].copy_from_slice(&volume.to_le_bytes());
     bytes[4..12].copy_from_slice(&key.to_le_bytes());
@@ -21,8 +21,8 @@
 /// The key of a request of a host: the same at every gateway that the host uses, and different from that
 /// of another host's request for the same blocks.
 ///
-/// XXH3 (64 bits) of the host's name, with the request's [`key_of`] as the seed.
-pub fn key_of_host(host: &str, key: u64) -> u64 {
+/// XXH3 (64 bits) of the host's name, with the request's [`request_key`] as the seed.
+pub fn host_request_key(host: &str, key: u64) -> u64 {
     xxh3_64_with_seed(host.as_bytes(), key)
 }
 
@@ -32,15 +32,15 @@
 
     #[test]
     fn a_key_is_stable_across_processes_and_distinguishes_requests() {
-        assert_eq!(key_of(1, 2, 3, 4), key_of(1, 2, 3, 4));
+        assert_eq!(request_key(1, 2, 3, 4), request_key(1, 2, 3, 4));
         // A change of the function must fail this test: gateways of two versions would no longer agree.
-        assert_eq!(key_of(1, 4096, 0, 8), EXPECTED_KEY);
+        assert_eq!(request_key(1, 4096, 0, 8), EXPECTED_KEY);
         let keys = [
-            key_of(1, 2, 3, 4),
-            key_of(2, 2, 3, 4),
-            key_of(1, 3, 3, 4),
-            key_of(1, 2, 4, 4),
-            key_of(1, 2, 3, 5),
+            request_key(1, 2, 3, 4),
+            request_key(2, 2, 3, 4),
+            request_key(1, 3, 3, 4),
+            request_key(1, 2, 4, 4),
+            request_key(1, 2, 3, 5),
         ];
         for (i, a) in keys.iter().enumerate() {
             assert!(keys[i + 1..].iter().all(|b| a != b), "{keys:?}");
@@ -49,11 +49,11 @@
 
     #[test]
     fn requests_of_two_hosts_for_the_same_blocks_have_different_keys() {
-        let key = key_of(1, 4096, 0, 8);
-        assert_eq!(key_of_host("nqn.a", key), key_of_host("nqn.a", key));
-        assert_ne!(key_of_host("nqn.a", key), key_of_host("nqn.b", key));
-        assert_ne!(key_of_host("nqn.a", key), key_of_host("nqn.a", key + 1));
-        assert_eq!(key_of_host("nqn.a", key), EXPECTED_HOST_KEY);
+        let key = request_key(1, 4096, 0, 8);
+        assert_eq!(host_request_key("nqn.a", key), host_request_key("nqn.a", key));
+        assert_ne!(host_request_key("nqn.a", key), host_request_key("nqn.b", key));
+        assert_ne!(host_request_key("nqn.a", key), host_request_key("nqn.a", key + 1));
+        assert_eq!(host_request_key("nqn.a", key), EXPECTED_HOST_KEY);
     }
 
     const EXPECTED_KEY: u64 = 7_475_634_194_794_638_259;
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -41,7 +41,7 @@
 
 pub use allowances::Allowances;
 pub use cap::{Allowance, Cap, Input, Output};
-pub use key::{key_of, key_of_host};
+pub use key::{host_request_key, request_key};
 pub use message::KIND;
 pub use options::{
     CapOptions, Durations, InjectedFault, ONE_TOKEN, OptionsError, Overrides, RECOVERING_FREE_PART,
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -15,7 +15,7 @@
 use peer::PeerName;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use repeats::{Input, Micros, key_of};
+use repeats::{Input, Micros, request_key};
 
 use check::{Arrival, Records};
 use event::{Attempt, End, Event, Request};
@@ -209,7 +209,7 @@
         let rate = self.scenario.load * self.scenario.capacity * self.scenario.nodes as f64;
         let gap = -(1.0 - self.rng.random::<f64>()).ln() * 1e6 / rate;
         self.schedule(self.now + gap as Micros + 1, Event::New(shard));
-        let key = key_of(shard, self.requests.len() as u64, 0, 8);
+        let key = request_key(shard, self.requests.len() as u64, 0, 8);
         let (marked, created) = (!self.rng.random_bool(self.scenario.unmarked), self.now);
         let request = self.requests.len();
         self.answers.push((created, shard, None));
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -33,7 +33,7 @@
 
 /// Rendezvous hashing: the member whose hash with the shard is highest.
 fn steward_of(shard: u32, members: usize) -> usize {
-    (0..members).max_by_key(|&m| repeats::key_of(shard, m as u64, 0, 0)).unwrap_or(0)
+    (0..members).max_by_key(|&m| repeats::request_key(shard, m as u64, 0, 0)).unwrap_or(0)
 }
 
 impl Steward {
