--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -1,7 +1,7 @@
 //! What the cap on repeats costs each gateway, by members and by shards.
 
 use peer::PeerName;
-use repeats::message::{Fact, Want, Word};
+use repeats::message::{CapMessage, LeaseRequest, ShardObservation};
 use repeats::{Cap, CapOptions, Input, ONE_TOKEN};
 
 use crate::coming::{CONTROL_BYTES, GATEWAYS, NODES, REQUESTS, SHARD_NODES};
@@ -193,9 +193,10 @@
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
     cap.handle(now, Input::Peers(peers.clone()), &mut out);
-    let want = Want { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
-    let fact = Fact { shard: 0, seen: true, served: 0, bad: 8 };
-    let body = peer::wire::encode(&Word { wants: vec![want], facts: vec![fact], ..Word::default() });
+    let want = LeaseRequest { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
+    let fact = ShardObservation { shard: 0, seen: true, served: 0, bad: 8 };
+    let body =
+        peer::wire::encode(&CapMessage { wants: vec![want], facts: vec![fact], ..CapMessage::default() });
     for from in peers.into_iter().skip(1) {
         cap.handle(now, Input::Heard { from, life: LIFE, body: body.clone() }, &mut out);
         out.clear();
--- a/crates/repeats/src/leases.rs
+++ b/crates/repeats/src/leases.rs
@@ -18,7 +18,7 @@
 
 use crate::Micros;
 use crate::account::Account;
-use crate::message::{Grant, Want};
+use crate::message::{LeaseGrant, LeaseRequest};
 use crate::options::{Durations, InjectedFault, ONE_TOKEN};
 
 /// The most requests whose grants are still accepted; older ones are forgotten.
@@ -82,7 +82,7 @@
         amount: u64,
         worth: f64,
         peers: &[PeerName],
-    ) -> Want {
+    ) -> LeaseRequest {
         let (durations, number) = (self.durations, self.next_number);
         self.next_number += 1;
         if self.fault != Some(InjectedFault::LeaseCountedFromArrival) {
@@ -93,25 +93,25 @@
             self.pending.pop_first();
         }
         self.pending.insert(number, PendingRequest { sent: now, account, amount, awaiting: peers.to_vec() });
-        Want { number, shard: account, amount, worth, life: self.life }
+        LeaseRequest { number, shard: account, amount, worth, life: self.life }
     }
 
     /// Whether a request is new; records it.
-    pub fn is_new_request(&mut self, from: &PeerName, want: &Want) -> bool {
+    pub fn is_new_request(&mut self, from: &PeerName, request: &LeaseRequest) -> bool {
         if !self.last_requests.contains_key(from) && self.last_requests.len() >= self.max_borrowers {
             return false;
         }
         let (life, last) =
-            self.last_requests.entry(from.clone()).or_insert_with(|| (want.life, BTreeMap::new()));
-        if *life != want.life {
-            if want.life.is_behind(*life) {
+            self.last_requests.entry(from.clone()).or_insert_with(|| (request.life, BTreeMap::new()));
+        if *life != request.life {
+            if request.life.is_behind(*life) {
                 return false;
             }
-            (*life, *last) = (want.life, BTreeMap::new());
+            (*life, *last) = (request.life, BTreeMap::new());
         }
-        let last_number = last.entry(want.shard).or_insert(0);
-        let is_new = want.number > *last_number;
-        *last_number = want.number.max(*last_number);
+        let last_number = last.entry(request.shard).or_insert(0);
+        let is_new = request.number > *last_number;
+        *last_number = request.number.max(*last_number);
         is_new
     }
 
@@ -120,20 +120,26 @@
     pub fn grant_lease(
         &self,
         now: Micros,
-        want: &Want,
+        request: &LeaseRequest,
         max_amount: u64,
         retained: u64,
         recovering: bool,
         account: &mut Account,
-    ) -> Option<Grant> {
-        let max_amount = max_amount.min(want.amount);
+    ) -> Option<LeaseGrant> {
+        let max_amount = max_amount.min(request.amount);
         let returns_early = self.fault == Some(InjectedFault::LeaseReturnsEarly);
         let parts = if self.fault == Some(InjectedFault::LeaseNotDebited) {
             account.clone().lease(now, max_amount, retained, returns_early)
         } else {
             account.lease(now, max_amount, retained, returns_early)
         };
-        let grant = Grant { number: want.number, shard: want.shard, parts, life: want.life, recovering };
+        let grant = LeaseGrant {
+            number: request.number,
+            shard: request.shard,
+            parts,
+            life: request.life,
+            recovering,
+        };
         (!grant.parts.is_empty()).then_some(grant)
     }
 
@@ -142,7 +148,7 @@
         &mut self,
         now: Micros,
         from: &PeerName,
-        grant: &Grant,
+        grant: &LeaseGrant,
         account: &mut Account,
     ) -> Result<u64, GrantRejected> {
         if grant.life != self.life {
--- a/crates/repeats/src/message.rs
+++ b/crates/repeats/src/message.rs
@@ -16,7 +16,7 @@
 
 /// A request for a lease of tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct LeaseRequest {
     /// Increases within the borrower's life.
     pub number: u64,
     /// The shard; none for fleet-wide tokens.
@@ -33,7 +33,7 @@
 
 /// A lease: tokens that the lender has taken off its account for the borrower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The number of the lease request.
     pub number: u64,
     /// The shard of the lease request.
@@ -50,7 +50,7 @@
 
 /// What a gateway has observed of a shard itself; never what a peer reported to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
+pub struct ShardObservation {
     /// The shard.
     pub shard: u32,
     /// It sees a node of the shard as cold, silent or refusing.
@@ -80,40 +80,40 @@
 
 /// A message to a peer's cap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct CapMessage {
     /// Lease requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub wants: Vec<Want>,
+    pub wants: Vec<LeaseRequest>,
     /// Leases granted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub grants: Vec<Grant>,
+    pub grants: Vec<LeaseGrant>,
     /// Observations of the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub facts: Vec<Fact>,
+    pub facts: Vec<ShardObservation>,
     /// Requests that ended unserved at the sender.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unserved: Option<FilterBits>,
 }
 
-impl Word {
+impl CapMessage {
     /// Decodes a body; returns the reason if it is rejected.
-    pub fn read(body: &[u8]) -> Result<Word, &'static str> {
+    pub fn decode(body: &[u8]) -> Result<CapMessage, &'static str> {
         if body.len() > MAX_BODY_BYTES {
             return Err("retry cap message exceeds the size limit");
         }
-        let word: Word = peer::wire::decode(body).ok_or("retry cap message cannot be decoded")?;
-        let grants = word.grants.iter().map(|g| g.parts.len()).max().unwrap_or(0);
-        if [word.wants.len(), word.grants.len(), word.facts.len(), grants]
+        let message: CapMessage = peer::wire::decode(body).ok_or("retry cap message cannot be decoded")?;
+        let grants = message.grants.iter().map(|g| g.parts.len()).max().unwrap_or(0);
+        if [message.wants.len(), message.grants.len(), message.facts.len(), grants]
             .into_iter()
             .any(|n| n > MAX_LIST_LEN)
         {
             return Err("retry cap message has a list that is too long");
         }
-        Ok(word)
+        Ok(message)
     }
 
     /// Whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
-        *self == Word::default()
+        *self == CapMessage::default()
     }
 }
--- a/crates/repeats/src/messaging.rs
+++ b/crates/repeats/src/messaging.rs
@@ -6,7 +6,7 @@
 
 use crate::Micros;
 use crate::cap::{Cap, Output};
-use crate::message::{Grant, Want, Word};
+use crate::message::{CapMessage, LeaseGrant, LeaseRequest};
 use crate::options::{InjectedFault, ONE_TOKEN, RESERVED_PART, TokenSource};
 
 /// Number of peers that receive each lease request.
@@ -17,8 +17,8 @@
 const MAX_REPORTED_REJECTIONS: usize = 1_024;
 
 impl Cap {
-    fn send_message(&mut self, to: PeerName, word: &Word, out: &mut Vec<Output>) {
-        let body = peer::wire::encode(word);
+    fn send_message(&mut self, to: PeerName, message: &CapMessage, out: &mut Vec<Output>) {
+        let body = peer::wire::encode(message);
         self.counts.notes_out += 1;
         self.counts.bytes_out += body.len() as u64;
         out.push(Output::Send { to, body });
@@ -49,16 +49,16 @@
             recipients.swap(at, other);
         }
         recipients.truncate(count);
-        let wants: Vec<Want> = wants
+        let wants: Vec<LeaseRequest> = wants
             .into_iter()
             .map(|(account, amount, worth)| {
                 self.leases.create_request(now, account, amount, worth, &recipients)
             })
             .collect();
         self.counts.wants += wants.len() as u64;
-        let word = Word { wants, ..Word::default() };
+        let message = CapMessage { wants, ..CapMessage::default() };
         for to in recipients {
-            self.send_message(to, &word, out);
+            self.send_message(to, &message, out);
         }
     }
 
@@ -71,52 +71,52 @@
             .values()
             .filter_map(|p| p.health.own_observation(now, p.shard, forward_reports))
             .collect();
-        let word = Word { facts, unserved: self.sketch.report(now), ..Word::default() };
-        if word.is_empty() {
+        let message = CapMessage { facts, unserved: self.sketch.report(now), ..CapMessage::default() };
+        if message.is_empty() {
             return;
         }
         for to in self.peers.clone() {
-            self.send_message(to, &word, out);
+            self.send_message(to, &message, out);
         }
     }
 
     /// Handles a message from a peer.
     pub(crate) fn receive(&mut self, now: Micros, from: PeerName, body: &[u8], out: &mut Vec<Output>) {
         self.counts.notes_in += 1;
-        let word = match Word::read(body) {
-            Ok(word) => word,
+        let message = match CapMessage::decode(body) {
+            Ok(message) => message,
             Err(why) => return self.reject(from, why, out),
         };
-        for fact in &word.facts {
-            match self.shard_caps.get_mut(&fact.shard) {
-                Some(shard_cap) => shard_cap.health.record_peer_observation(now, &from, fact),
+        for observation in &message.facts {
+            match self.shard_caps.get_mut(&observation.shard) {
+                Some(shard_cap) => shard_cap.health.record_peer_observation(now, &from, observation),
                 None => {
                     self.reject(from.clone(), "it reports a shard that the retry cap does not cover", out)
                 }
             }
         }
-        if !word.facts.is_empty() {
+        if !message.facts.is_empty() {
             self.evaluate_states(now, 0, out);
         }
-        if word.unserved.is_some_and(|bits| !self.sketch.merge_report(now, &bits)) {
+        if message.unserved.is_some_and(|bits| !self.sketch.merge_report(now, &bits)) {
             self.reject(from.clone(), "its filter of unserved requests cannot be decoded", out);
         }
-        for grant in &word.grants {
+        for grant in &message.grants {
             self.accept_grant(now, &from, grant);
         }
-        let grants: Vec<Grant> =
-            word.wants.iter().filter_map(|want| self.grant_lease(now, &from, want)).collect();
+        let grants: Vec<LeaseGrant> =
+            message.wants.iter().filter_map(|request| self.grant_lease(now, &from, request)).collect();
         if !grants.is_empty() {
             self.counts.given += grants.len() as u64;
             // Allowances are lowered before the grant is sent: the scheduler must not spend tokens that
             // now belong to a peer.
             self.distribute();
             self.report_allowances(now, out);
-            self.send_message(from, &Word { grants, ..Word::default() }, out);
+            self.send_message(from, &CapMessage { grants, ..CapMessage::default() }, out);
         }
     }
 
-    fn accept_grant(&mut self, now: Micros, from: &PeerName, grant: &Grant) {
+    fn accept_grant(&mut self, now: Micros, from: &PeerName, grant: &LeaseGrant) {
         let account = match grant.shard {
             None => &mut self.fleet,
             Some(shard) => match self.shard_caps.get_mut(&shard) {
@@ -143,17 +143,17 @@
 
     /// Leases half of what is not needed here, in proportion to the request's worth among those received
     /// in this slice.
-    fn grant_lease(&mut self, now: Micros, from: &PeerName, want: &Want) -> Option<Grant> {
-        if self.overrides.token_source != TokenSource::Escrow || !self.leases.is_new_request(from, want) {
+    fn grant_lease(&mut self, now: Micros, from: &PeerName, request: &LeaseRequest) -> Option<LeaseGrant> {
+        if self.overrides.token_source != TokenSource::Escrow || !self.leases.is_new_request(from, request) {
             return None;
         }
-        let worth = if want.worth.is_finite() { want.worth.clamp(1.0, 1e12) } else { 1.0 };
-        let worth_sum = self.requested_worth.entry(want.shard).or_insert(0.0);
+        let worth = if request.worth.is_finite() { request.worth.clamp(1.0, 1e12) } else { 1.0 };
+        let worth_sum = self.requested_worth.entry(request.shard).or_insert(0.0);
         *worth_sum += worth;
         let fraction = worth / *worth_sum;
         let fleet_need: u64 = self.shard_caps.values().map(|p| p.need()).sum();
         let rejected: u32 = self.shard_caps.values().map(|p| p.health.sum(2).rejected + p.waiting).sum();
-        let (account, need, rejected, reduced, free) = match want.shard {
+        let (account, need, rejected, reduced, free) = match request.shard {
             None => (&mut self.fleet, fleet_need, rejected, false, self.options.fleet_free),
             Some(shard) => {
                 let shard_cap = self.shard_caps.get_mut(&shard)?;
@@ -173,6 +173,6 @@
         if max_amount < MIN_LEASE {
             return None;
         }
-        self.leases.grant_lease(now, want, max_amount, retained, reduced, account)
+        self.leases.grant_lease(now, request, max_amount, retained, reduced, account)
     }
 }
--- a/crates/repeats/src/shard.rs
+++ b/crates/repeats/src/shard.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::message::Fact;
+use crate::message::ShardObservation;
 use crate::options::{CapOptions, SLICES_PER_WINDOW};
 
 /// Windows for which the reports of a single peer are believed.
@@ -147,7 +147,7 @@
     }
 
     /// Records a peer's observation, unless it contains no evidence of trouble.
-    pub fn record_peer_observation(&mut self, now: Micros, from: &PeerName, observation: &Fact) {
+    pub fn record_peer_observation(&mut self, now: Micros, from: &PeerName, observation: &ShardObservation) {
         if !observation.seen && !shows_trouble(observation.served, observation.bad) {
             return;
         }
@@ -163,11 +163,16 @@
 
     /// The observation to report to peers: only this gateway's own, and only while it sees trouble.
     /// `forward_reports` is an injected fault that includes peers' reports.
-    pub fn own_observation(&self, now: Micros, shard: u32, forward_reports: bool) -> Option<Fact> {
+    pub fn own_observation(
+        &self,
+        now: Micros,
+        shard: u32,
+        forward_reports: bool,
+    ) -> Option<ShardObservation> {
         let seen = self.sees_trouble && !self.is_proven_healthy(now)
             || forward_reports && self.peer_reports.values().any(|h| now - h.last <= self.window);
         let SliceCounts { served, bad, .. } = self.trouble_counts().unwrap_or_default();
-        (seen || bad > 0).then_some(Fact { shard, seen, served, bad })
+        (seen || bad > 0).then_some(ShardObservation { shard, seen, served, bad })
     }
 
     /// Ends as many slices as have passed and evaluates the state; returns true if the state or its step
--- a/crates/repeats/tests/accounts.rs
+++ b/crates/repeats/tests/accounts.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use repeats::account::Account;
 use repeats::leases::{GrantRejected, LeaseBook};
-use repeats::message::{Grant, Want};
+use repeats::message::{LeaseGrant, LeaseRequest};
 use repeats::{CapOptions, InjectedFault, Micros, ONE_TOKEN};
 
 const WINDOW: Micros = 64_000;
@@ -33,8 +33,8 @@
 struct Fleet {
     now: Micros,
     gateways: Vec<Gateway>,
-    wants: Vec<(usize, usize, Want)>,
-    grants: Vec<(usize, usize, Grant)>,
+    wants: Vec<(usize, usize, LeaseRequest)>,
+    grants: Vec<(usize, usize, LeaseGrant)>,
     uses: Vec<Micros>,
     served: Vec<Micros>,
     fault: Option<InjectedFault>,
@@ -88,9 +88,9 @@
         let now = self.clock(gateway);
         if gateway != lender {
             let name = self.gateways[lender].name.clone();
-            let want =
+            let request =
                 self.gateways[gateway].leases.create_request(now, Some(0), 2 * ONE_TOKEN, 1.0, &[name]);
-            self.wants.push((gateway, lender, want));
+            self.wants.push((gateway, lender, request));
         }
     }
 
@@ -99,11 +99,12 @@
             return;
         }
         let at = at % self.wants.len();
-        let (from, to, want) = if duplicate { self.wants[at].clone() } else { self.wants.remove(at) };
+        let (from, to, request) = if duplicate { self.wants[at].clone() } else { self.wants.remove(at) };
         let (now, name) = (self.clock(to), self.gateways[from].name.clone());
         let gateway = &mut self.gateways[to];
-        if gateway.leases.is_new_request(&name, &want) {
-            let grant = gateway.leases.grant_lease(now, &want, 2 * ONE_TOKEN, 0, false, &mut gateway.account);
+        if gateway.leases.is_new_request(&name, &request) {
+            let grant =
+                gateway.leases.grant_lease(now, &request, 2 * ONE_TOKEN, 0, false, &mut gateway.account);
             self.grants.extend(grant.map(|g| (to, from, g)));
         }
     }
@@ -285,10 +286,10 @@
     assert_eq!(late.accept_grant(now + WINDOW / 8, &name, &grant, &mut account), Err(GrantRejected::Late));
     assert_eq!(accept(&mut fleet.gateways[0], now), Ok(2 * ONE_TOKEN));
     assert_eq!(accept(&mut fleet.gateways[0], now), Err(GrantRejected::NotRequested));
-    let overstated = Grant { parts: vec![(u64::MAX, Micros::MAX); 3], ..grant.clone() };
+    let overstated = LeaseGrant { parts: vec![(u64::MAX, Micros::MAX); 3], ..grant.clone() };
     let mut asker = LeaseBook::new(options().durations(), life(1), 3, None);
     asker.create_request(now, Some(0), ONE_TOKEN, 1.0, std::slice::from_ref(&name));
-    let overstated = Grant { number: 1, ..overstated };
+    let overstated = LeaseGrant { number: 1, ..overstated };
     assert_eq!(
         asker.accept_grant(now, &name, &overstated, &mut account),
         Ok(ONE_TOKEN),
@@ -297,7 +298,7 @@
     fleet.restart(0);
     assert_eq!(accept(&mut fleet.gateways[0], now), Err(GrantRejected::OtherLife));
     let other = PeerName::from("g9");
-    let grant = Grant { life: life(2), ..grant.clone() };
+    let grant = LeaseGrant { life: life(2), ..grant.clone() };
     assert_eq!(
         fleet.gateways[0].leases.accept_grant(now, &other, &grant, &mut account),
         Err(GrantRejected::Late)
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use peer::{Incarnation, Life, Nonce, PeerName};
-use repeats::message::{Fact, Word};
+use repeats::message::{CapMessage, ShardObservation};
 use repeats::shard::{PEER_RESET_WINDOWS, SINGLE_PEER_WINDOWS};
 use repeats::{Cap, CapOptions, InjectedFault, Input, Micros, Output, Overrides, ShardState};
 
@@ -250,8 +250,8 @@
 }
 
 fn fact(shard: u32) -> Vec<u8> {
-    let fact = Fact { shard, seen: true, served: 0, bad: 0 };
-    peer::wire::encode(&Word { facts: vec![fact], ..Word::default() })
+    let fact = ShardObservation { shard, seen: true, served: 0, bad: 0 };
+    peer::wire::encode(&CapMessage { facts: vec![fact], ..CapMessage::default() })
 }
 
 /// The part of a minute in which gateway 1 kept the shard in recovering while gateway 0 reported trouble
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use peer::{Incarnation, Life, Nonce, PeerName};
-use repeats::message::{Grant, Word};
+use repeats::message::{CapMessage, LeaseGrant};
 use repeats::{Allowances, Cap, CapOptions, Input, Micros, ONE_TOKEN, Output};
 
 const SECOND: Micros = 1_000_000;
@@ -205,25 +205,26 @@
     gateway.send_batch(&[1]);
     gateway.handle_input(Input::Waiting { shard: 1, waiting: 3, worth: 1.0 });
     gateway.notify();
-    let mut want = None;
+    let mut request = None;
     for _ in 0..40 {
         gateway.advance(1_000);
-        let words =
-            std::mem::take(&mut gateway.notes).into_iter().filter_map(|(_, body)| Word::read(&body).ok());
-        want = words.flat_map(|w| w.wants).find(|w| w.shard == Some(1));
-        if want.is_some() {
+        let messages = std::mem::take(&mut gateway.notes)
+            .into_iter()
+            .filter_map(|(_, body)| CapMessage::decode(&body).ok());
+        request = messages.flat_map(|w| w.wants).find(|w| w.shard == Some(1));
+        if request.is_some() {
             break;
         }
     }
-    let want = want.expect("a lease request");
-    let grant = Grant {
-        number: want.number,
+    let request = request.expect("a lease request");
+    let grant = LeaseGrant {
+        number: request.number,
         shard: Some(1),
         parts: vec![(2 * ONE_TOKEN, 125_000)],
-        life: want.life,
+        life: request.life,
         recovering: false,
     };
-    let body = peer::wire::encode(&Word { grants: vec![grant], ..Word::default() });
+    let body = peer::wire::encode(&CapMessage { grants: vec![grant], ..CapMessage::default() });
     let life = Life { incarnation: Incarnation(1), nonce: Nonce(2) };
     gateway.handle_input(Input::Heard { from: peer, life, body });
     gateway.notify();
--- a/crates/repeats/tests/model.rs
+++ b/crates/repeats/tests/model.rs
@@ -4,7 +4,7 @@
 use peer::{Incarnation, Life, Nonce, PeerName};
 use repeats::account::Account;
 use repeats::leases::LeaseBook;
-use repeats::message::{Grant, Want};
+use repeats::message::{LeaseGrant, LeaseRequest};
 use repeats::{CapOptions, InjectedFault, Micros, ONE_TOKEN};
 use stateright::{Checker, Model, Property};
 
@@ -36,7 +36,7 @@
     time: u8,
     gateways: Vec<(Account, LeaseBook, u64)>,
     wants: Vec<RequestKey>,
-    grants: Vec<(usize, Grant)>,
+    grants: Vec<(usize, LeaseGrant)>,
     uses: Vec<Micros>,
     remaining: (u8, u8, u8),
 }
@@ -47,8 +47,8 @@
     Use(usize),
     Ask(usize),
     /// A message arrives; if the flag is set, a duplicate stays in flight.
-    Want(usize, bool),
-    Grant(usize, bool),
+    DeliverRequest(usize, bool),
+    DeliverGrant(usize, bool),
     Restart(usize),
 }
 
@@ -102,8 +102,8 @@
         // A lost message is one that is never delivered.
         for duplicate in [false, true] {
             if !duplicate || state.remaining.1 > 0 {
-                possible.extend((0..state.wants.len()).map(|i| ModelAction::Want(i, duplicate)));
-                possible.extend((0..state.grants.len()).map(|i| ModelAction::Grant(i, duplicate)));
+                possible.extend((0..state.wants.len()).map(|i| ModelAction::DeliverRequest(i, duplicate)));
+                possible.extend((0..state.grants.len()).map(|i| ModelAction::DeliverGrant(i, duplicate)));
             }
         }
     }
@@ -123,31 +123,31 @@
             }
             ModelAction::Ask(gateway) => {
                 state.remaining.0 -= 1;
-                let want = state.gateways[gateway].1.create_request(
+                let request = state.gateways[gateway].1.create_request(
                     now,
                     Some(0),
                     ONE_TOKEN,
                     1.0,
                     &[name(1 - gateway)],
                 );
-                state.wants.push((gateway, want.number, want.life));
+                state.wants.push((gateway, request.number, request.life));
             }
-            ModelAction::Want(at, duplicate) => {
+            ModelAction::DeliverRequest(at, duplicate) => {
                 let (from, number, life) = state.wants[at];
                 if duplicate {
                     state.remaining.1 -= 1;
                 } else {
                     state.wants.remove(at);
                 }
-                let want = Want { number, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life };
+                let request = LeaseRequest { number, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life };
                 let (account, leases, _) = &mut state.gateways[1 - from];
-                if leases.is_new_request(&name(from), &want) {
+                if leases.is_new_request(&name(from), &request) {
                     state.grants.extend(
-                        leases.grant_lease(now, &want, ONE_TOKEN, 0, false, account).map(|g| (from, g)),
+                        leases.grant_lease(now, &request, ONE_TOKEN, 0, false, account).map(|g| (from, g)),
                     );
                 }
             }
-            ModelAction::Grant(at, duplicate) => {
+            ModelAction::DeliverGrant(at, duplicate) => {
                 let (to, grant) = state.grants[at].clone();
                 if duplicate {
                     state.remaining.1 -= 1;
--- a/crates/repeats/tests/rig/event.rs
+++ b/crates/repeats/tests/rig/event.rs
@@ -7,8 +7,8 @@
     Try { request: usize, gateway: usize },
     AtNode { attempt: usize },
     End { attempt: usize, outcome: End },
-    Reply { request: usize, number: u32, served: bool, come_back: Option<Micros> },
-    TimedOut { request: usize, number: u32 },
+    Reply { request: usize, try_number: u32, served: bool, come_back: Option<Micros> },
+    TimedOut { request: usize, try_number: u32 },
     Message { from: usize, life: u64, to: usize, body: Vec<u8> },
     Tick,
     Kill(usize),
@@ -25,7 +25,7 @@
 pub(super) struct Request {
     pub(super) shard: u32,
     pub(super) key: u64,
-    pub(super) marked: bool,
+    pub(super) is_marked: bool,
     pub(super) created: Micros,
     pub(super) tries: u32,
     pub(super) gateway: usize,
@@ -34,10 +34,12 @@
 
 pub(super) struct Attempt {
     pub(super) request: usize,
-    pub(super) number: u32,
+    /// The client's try that this attempt belongs to.
+    pub(super) try_number: u32,
     pub(super) gateway: usize,
     pub(super) life: u64,
     pub(super) node: usize,
+    /// The position among the attempts of its gateway for that try.
     pub(super) attempt_number: u32,
     pub(super) open: bool,
 }
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -169,10 +169,10 @@
             Event::Try { request, gateway } => self.handle_client_request(request, gateway),
             Event::AtNode { attempt } => self.at_node(attempt),
             Event::End { attempt, outcome } => self.end(attempt, outcome),
-            Event::Reply { request, number, served, come_back } => {
-                self.handle_reply(request, number, served, come_back)
+            Event::Reply { request, try_number, served, come_back } => {
+                self.handle_reply(request, try_number, served, come_back)
             }
-            Event::TimedOut { request, number } => self.handle_reply(request, number, false, None),
+            Event::TimedOut { request, try_number } => self.handle_reply(request, try_number, false, None),
             Event::Message { from, life: n, to, body } => {
                 if self.gateways[to].up {
                     self.handle_input(to, Input::Heard { from: name(from), life: life(n), body });
@@ -210,13 +210,13 @@
         let gap = -(1.0 - self.rng.random::<f64>()).ln() * 1e6 / rate;
         self.schedule(self.now + gap as Micros + 1, Event::New(shard));
         let key = request_key(shard, self.requests.len() as u64, 0, 8);
-        let (marked, created) = (!self.rng.random_bool(self.scenario.unmarked), self.now);
+        let (is_marked, created) = (!self.rng.random_bool(self.scenario.unmarked), self.now);
         let request = self.requests.len();
         self.answers.push((created, shard, None));
         self.requests.push(Request {
             shard,
             key,
-            marked,
+            is_marked,
             created,
             tries: 0,
             gateway: usize::MAX,
@@ -236,14 +236,14 @@
         let r = &mut self.requests[request];
         r.tries += 1;
         r.gateway = gateway;
-        let number = r.tries;
+        let try_number = r.tries;
         self.schedule_between(wait + MILLI, wait + 2 * MILLI, Event::Try { request, gateway });
-        self.schedule(self.now + wait + CLIENT_TIMEOUT, Event::TimedOut { request, number });
+        self.schedule(self.now + wait + CLIENT_TIMEOUT, Event::TimedOut { request, try_number });
     }
 
-    fn handle_reply(&mut self, request: usize, number: u32, served: bool, come_back: Option<Micros>) {
+    fn handle_reply(&mut self, request: usize, try_number: u32, served: bool, come_back: Option<Micros>) {
         let r = &mut self.requests[request];
-        if r.done || r.tries != number {
+        if r.done || r.tries != try_number {
             return;
         }
         if served {
@@ -251,7 +251,7 @@
             self.answers[request].2 = Some(self.now - r.created);
             return;
         }
-        let own = if r.marked { 100 * MILLI } else { 200 * MILLI };
+        let own = if r.is_marked { 100 * MILLI } else { 200 * MILLI };
         let wait = come_back.unwrap_or(own) + self.rng.random_range(0..50 * MILLI);
         let r = &mut self.requests[request];
         if r.tries >= TRIES || self.now + wait - r.created > REQUEST_TIMEOUT {
@@ -266,29 +266,33 @@
         if !self.gateways[gateway].up {
             return;
         }
-        let (shard, number) = (r.shard, r.tries);
-        let repeat = r.marked && r.tries > 1 || self.gateways[gateway].is_repeat(now, r.key);
+        let (shard, try_number) = (r.shard, r.tries);
+        let repeat = r.is_marked && r.tries > 1 || self.gateways[gateway].is_repeat(now, r.key);
         if !repeat {
-            return self.send(request, gateway, number, 1, false);
+            return self.send(request, gateway, try_number, 1, false);
         }
         match self.gateways[gateway].try_retry(shard) {
-            Ok(()) => self.send(request, gateway, number, 1, true),
-            Err(come_back) => self.hold_back(request, gateway, number, come_back),
+            Ok(()) => self.send(request, gateway, try_number, 1, true),
+            Err(come_back) => self.hold_back(request, gateway, try_number, come_back),
         }
     }
 
-    fn hold_back(&mut self, request: usize, gateway: usize, number: u32, come_back: Option<Micros>) {
+    fn hold_back(&mut self, request: usize, gateway: usize, try_number: u32, come_back: Option<Micros>) {
         let (shard, left) = (self.requests[request].shard, CLIENT_TIMEOUT);
         self.gateways[gateway].held_back += 1;
         self.handle_input(gateway, Input::Wanted { shard, worth: 1.0, left });
-        self.schedule_between(MILLI, 2 * MILLI, Event::Reply { request, number, served: false, come_back });
+        self.schedule_between(
+            MILLI,
+            2 * MILLI,
+            Event::Reply { request, try_number, served: false, come_back },
+        );
     }
 
-    fn send(&mut self, request: usize, gateway: usize, number: u32, attempt_number: u32, further: bool) {
+    fn send(&mut self, request: usize, gateway: usize, try_number: u32, attempt_number: u32, further: bool) {
         let shard = self.requests[request].shard;
         let node = shard as usize * self.scenario.nodes + self.rng.random_range(0..self.scenario.nodes);
         let (attempt, life) = (self.attempts.len(), self.gateways[gateway].life);
-        self.attempts.push(Attempt { request, number, gateway, life, node, attempt_number, open: true });
+        self.attempts.push(Attempt { request, try_number, gateway, life, node, attempt_number, open: true });
         self.handle_input(gateway, Input::Sent { shard, further });
         self.schedule_between(MILLI / 2, 2 * MILLI, Event::AtNode { attempt });
         self.schedule(self.now + NODE_TIMEOUT, Event::End { attempt, outcome: End::NoAnswer });
@@ -318,8 +322,8 @@
             return;
         }
         a.open = false;
-        let (request, gateway, number, node, attempt_number) =
-            (a.request, a.gateway, a.number, a.node, a.attempt_number);
+        let (request, gateway, try_number, node, attempt_number) =
+            (a.request, a.gateway, a.try_number, a.node, a.attempt_number);
         if !self.gateways[gateway].up || self.gateways[gateway].life != a.life {
             return;
         }
@@ -342,17 +346,19 @@
             self.schedule_between(
                 MILLI,
                 2 * MILLI,
-                Event::Reply { request, number, served: true, come_back: None },
+                Event::Reply { request, try_number, served: true, come_back: None },
             );
             return;
         }
-        if attempt_number < ATTEMPTS && self.requests[request].tries == number && !self.requests[request].done
+        if attempt_number < ATTEMPTS
+            && self.requests[request].tries == try_number
+            && !self.requests[request].done
         {
             match self.gateways[gateway].try_retry(shard) {
-                Ok(()) => return self.send(request, gateway, number, attempt_number + 1, true),
+                Ok(()) => return self.send(request, gateway, try_number, attempt_number + 1, true),
                 Err(come_back) => {
                     self.handle_input(gateway, Input::Unserved { key });
-                    return self.hold_back(request, gateway, number, come_back);
+                    return self.hold_back(request, gateway, try_number, come_back);
                 }
             }
         }
@@ -360,7 +366,7 @@
         self.schedule_between(
             MILLI,
             2 * MILLI,
-            Event::Reply { request, number, served: false, come_back: None },
+            Event::Reply { request, try_number, served: false, come_back: None },
         );
     }
 }
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -8,7 +8,7 @@
 use peer::Life;
 use repeats::account::Account;
 use repeats::leases::LeaseBook;
-use repeats::message::{Fact, Word};
+use repeats::message::{CapMessage, ShardObservation};
 use repeats::{Allowance, CapOptions, Input, Micros, ONE_TOKEN, Output, RECOVERING_FREE_PART};
 
 use super::gateway::name;
@@ -91,34 +91,36 @@
                 }
             }
             Input::Heard { from, body, .. } => {
-                let Ok(word) = Word::read(&body) else { return };
-                for want in &word.wants {
-                    let Some(shard_account) = want.shard.and_then(|s| self.shard_accounts.get_mut(&s)) else {
+                let Ok(message) = CapMessage::decode(&body) else { return };
+                for request in &message.wants {
+                    let Some(shard_account) = request.shard.and_then(|s| self.shard_accounts.get_mut(&s))
+                    else {
                         continue;
                     };
-                    let fact = word.facts.iter().find(|f| Some(f.shard) == want.shard);
-                    let more = fact.map_or(0, |f| f.served);
+                    let observation = message.facts.iter().find(|f| Some(f.shard) == request.shard);
+                    let more = observation.map_or(0, |f| f.served);
                     let each = (share(shard_account, &self.options) * ONE_TOKEN as f64) as u64;
                     if shard_account.steward != self.index {
                         continue;
                     }
                     // Requests served since the last report: a lost report loses tokens, a late one
                     // earns them late.
-                    if self.leases.is_new_request(&from, want) {
+                    if self.leases.is_new_request(&from, request) {
                         shard_account.account.earn(now, each * u64::from(more));
                         let grant = self.leases.grant_lease(
                             now,
-                            want,
-                            want.amount,
+                            request,
+                            request.amount,
                             0,
                             shard_account.recovers,
                             &mut shard_account.account,
                         );
-                        let word = Word { grants: grant.into_iter().collect(), ..Word::default() };
-                        out.push(Output::Send { to: from.clone(), body: peer::wire::encode(&word) });
+                        let message =
+                            CapMessage { grants: grant.into_iter().collect(), ..CapMessage::default() };
+                        out.push(Output::Send { to: from.clone(), body: peer::wire::encode(&message) });
                     }
                 }
-                for grant in &word.grants {
+                for grant in &message.grants {
                     if let Some(shard_account) = grant.shard.and_then(|s| self.shard_accounts.get_mut(&s)) {
                         let _ = self.leases.accept_grant(now, &from, grant, &mut shard_account.account);
                     }
@@ -148,12 +150,13 @@
             shard_account.need = 0;
             if shard_account.steward != self.index {
                 let to = name(shard_account.steward);
-                let want =
+                let request =
                     self.leases.create_request(now, Some(shard), amount, 1.0, std::slice::from_ref(&to));
                 let served = std::mem::take(&mut shard_account.served);
-                let fact = Fact { shard, seen: false, served, bad: 0 };
-                let word = Word { wants: vec![want], facts: vec![fact], ..Word::default() };
-                out.push(Output::Send { to, body: peer::wire::encode(&word) });
+                let observation = ShardObservation { shard, seen: false, served, bad: 0 };
+                let message =
+                    CapMessage { wants: vec![request], facts: vec![observation], ..CapMessage::default() };
+                out.push(Output::Send { to, body: peer::wire::encode(&message) });
             }
         }
     }
