--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -192,13 +192,13 @@
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
-    cap.handle(now, Input::Peers(peers.clone()), &mut out);
+    cap.handle(now, Input::PeersChanged(peers.clone()), &mut out);
     let want = LeaseRequest { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
     let fact = ShardObservation { shard: 0, seen: true, served: 0, bad: 8 };
     let body =
         peer::wire::encode(&CapMessage { wants: vec![want], facts: vec![fact], ..CapMessage::default() });
     for from in peers.into_iter().skip(1) {
-        cap.handle(now, Input::Heard { from, life: LIFE, body: body.clone() }, &mut out);
+        cap.handle(now, Input::MessageReceived { from, life: LIFE, body: body.clone() }, &mut out);
         out.clear();
     }
     cap
--- a/crates/capacity/src/parts/notes.rs
+++ b/crates/capacity/src/parts/notes.rs
@@ -105,7 +105,7 @@
             counted: Counted::default(),
         };
         for at in 0..played {
-            company.hand(at, Input::Peers(company.names.clone()));
+            company.hand(at, Input::PeersChanged(company.names.clone()));
         }
         company
     }
@@ -167,7 +167,7 @@
         let watch = Watch::start();
         for (from, to, body) in under_way {
             let from = self.names[from].clone();
-            self.hand(to, Input::Heard { from, life: LIFE, body });
+            self.hand(to, Input::MessageReceived { from, life: LIFE, body });
         }
         self.counted.heard += watch.stop();
         let until = |steps: u64| steps * u64::from(REQUESTS) / STEPS;
@@ -185,22 +185,22 @@
             Unserved::OneIn(many) => self.rng.random_range(0..many) == 0,
             Unserved::ShardZero => shard == 0,
         };
-        self.hand(at, Input::Sent { shard, further: false });
-        self.hand(at, Input::Ended { shard, served: !unserved, refused: false });
+        self.hand(at, Input::AttemptSent { shard, is_retry: false });
+        self.hand(at, Input::AttemptEnded { shard, served: !unserved, refused: false });
         if unserved && self.unserved == Unserved::ShardZero {
             if self.allowed[at] > 0 {
                 self.allowed[at] -= 1;
-                self.hand(at, Input::Sent { shard, further: true });
-                self.hand(at, Input::Ended { shard, served: false, refused: false });
+                self.hand(at, Input::AttemptSent { shard, is_retry: true });
+                self.hand(at, Input::AttemptEnded { shard, served: false, refused: false });
             } else {
-                self.hand(at, Input::Wanted { shard, worth: 1.0, left: LEFT });
+                self.hand(at, Input::RetryRejected { shard, worth: 1.0, remaining: LEFT });
             }
         }
         if unserved {
             self.next_key += 1;
             // Spread as the keys of requests are.
             let key = self.next_key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            self.hand(at, Input::Unserved { key });
+            self.hand(at, Input::RequestUnserved { key });
         }
         self.counted.requests += 1;
     }
--- a/crates/gateway/src/rights.rs
+++ b/crates/gateway/src/rights.rs
@@ -106,7 +106,7 @@
         if send.further {
             self.allowances.spend(send.shard.0);
         }
-        self.take(now, Input::Sent { shard: send.shard.0, further: send.further });
+        self.take(now, Input::AttemptSent { shard: send.shard.0, is_retry: send.further });
     }
 
     /// Whether a copy may go to a shard in the shadow: only beside normal traffic, and with a right of its own.
@@ -117,7 +117,7 @@
     /// A copy in the shadow goes out.
     pub(crate) fn copied(&mut self, now: Micros, shard: u32) {
         self.allowances.take(shard);
-        self.take(now, Input::Sent { shard, further: true });
+        self.take(now, Input::AttemptSent { shard, is_retry: true });
     }
 
     /// An attempt has ended, or nobody waits for it any more. One that never went out has spent its right all the same: a
@@ -128,7 +128,7 @@
         if refused {
             self.refused.insert(shard, true);
         }
-        self.take(now, Input::Ended { shard, served, refused });
+        self.take(now, Input::AttemptEnded { shard, served, refused });
     }
 
     /// An operation ended unserved, after something of it was sent or before.
@@ -140,20 +140,20 @@
     pub(crate) fn unserved(&mut self, now: Micros, asked: Asked, was_sent: bool) {
         let recovers = matches!(self.cap.state(asked.shard), ShardState::Recovering | ShardState::Widening);
         if was_sent || asked.is_repeat && recovers {
-            self.take(now, Input::Unserved { key: asked.key });
+            self.take(now, Input::RequestUnserved { key: asked.key });
         }
     }
 
     /// A part was turned away for want of rights.
     pub(crate) fn wanted(&mut self, now: Micros, wanted: Wanted) {
         let Wanted { shard, worth, left } = wanted;
-        self.take(now, Input::Wanted { shard: shard.0, worth, left });
+        self.take(now, Input::RetryRejected { shard: shard.0, worth, remaining: left });
     }
 
     /// Other parts wait for a right of a shard than before.
     pub(crate) fn waits(&mut self, now: Micros, shortage: Shortage) {
         let Shortage { shard, waiting, worth } = shortage;
-        self.take(now, Input::Waiting { shard: shard.0, waiting, worth });
+        self.take(now, Input::RetriesWaiting { shard: shard.0, waiting, worth });
     }
 
     /// Shards with a node that this gateway sees cold or silent.
@@ -166,7 +166,7 @@
         for (shard, trouble) in shards {
             let on = trouble || refused.contains_key(&shard);
             if self.recovering.insert(shard, on) != Some(on) {
-                self.take(now, Input::Recovers { shard, on });
+                self.take(now, Input::NodeTrouble { shard, present: on });
             }
         }
     }
@@ -175,16 +175,16 @@
     pub(crate) fn peers(&mut self, now: Micros, peers: Vec<PeerName>) {
         if peers != self.peers {
             self.peers.clone_from(&peers);
-            self.take(now, Input::Peers(peers));
+            self.take(now, Input::PeersChanged(peers));
         }
     }
 
     pub(crate) fn told(&mut self, now: Micros, told: Told) {
         match told {
             Told::Noted { peer, life, kind: KIND, body } => {
-                self.take(now, Input::Heard { from: peer, life, body })
+                self.take(now, Input::MessageReceived { from: peer, life, body })
             }
-            Told::Renewed { life } => self.take(now, Input::Renewed(life)),
+            Told::Renewed { life } => self.take(now, Input::LifeRenewed(life)),
             _ => {}
         }
     }
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -153,12 +153,12 @@
 
     fn allow(&mut self) -> bool {
         for _ in 0..std::mem::take(&mut self.wanted) {
-            self.hand(Input::Wanted { shard: SHARD, worth: 1.0, left: SECOND });
+            self.hand(Input::RetryRejected { shard: SHARD, worth: 1.0, remaining: SECOND });
         }
         for Shortage { shard, waiting, worth } in self.module.take_shortages() {
             self.waiting = waiting as usize;
             self.most_waiting = self.most_waiting.max(self.waiting);
-            self.hand(Input::Waiting { shard: shard.0, waiting, worth });
+            self.hand(Input::RetriesWaiting { shard: shard.0, waiting, worth });
         }
         let Some(allowance) = self.allowances.next_untold() else { return false };
         let most = self.cap.may_wait(allowance.shard);
@@ -180,7 +180,7 @@
                     self.left = self.left.saturating_sub(1);
                     self.allowances.spend(SHARD);
                 }
-                self.hand(Input::Sent { shard: SHARD, further });
+                self.hand(Input::AttemptSent { shard: SHARD, is_retry: further });
                 self.fates.get_mut(&request.0).unwrap().sent = Some(self.now);
                 if !self.is_silent {
                     self.answers.insert((self.now + 1_000, request, node));
@@ -227,7 +227,7 @@
                 self.give(Event::Timer(token));
             } else if answer == Some(next) {
                 let (_, request, node) = self.answers.pop_first().unwrap();
-                self.hand(Input::Ended { shard: SHARD, served: true, refused: false });
+                self.hand(Input::AttemptEnded { shard: SHARD, served: true, refused: false });
                 self.give(Event::Answer(Answer {
                     request,
                     attempt: 0,
@@ -282,7 +282,7 @@
 #[test]
 fn of_a_crowd_at_a_shard_that_recovers_none_waits() {
     let mut joined = Joined::new(0.0);
-    joined.hand(Input::Recovers { shard: SHARD, on: true });
+    joined.hand(Input::NodeTrouble { shard: SHARD, present: true });
     joined.settle();
     (1..=CROWD).for_each(|id| joined.ask(id));
     let waiting = joined.waiting;
@@ -302,7 +302,7 @@
     let mut joined = Joined::new(0.0);
     joined.is_silent = true;
     (0..60).for_each(|n| joined.ask(FIRST + n));
-    joined.hand(Input::Recovers { shard: SHARD, on: true });
+    joined.hand(Input::NodeTrouble { shard: SHARD, present: true });
     joined.settle();
     let left = joined.left;
     (1..=CROWD).for_each(|id| joined.ask(id));
@@ -369,7 +369,7 @@
     // The engine's `bears_copy` and `copied`.
     assert_eq!(joined.allowances.left(SHARD), Some(4));
     joined.allowances.take(SHARD);
-    joined.hand(Input::Sent { shard: SHARD, further: true });
+    joined.hand(Input::AttemptSent { shard: SHARD, is_retry: true });
     joined.settle();
     (1..=8).for_each(|id| joined.ask(id));
     let (sent, ..) =
--- a/crates/repeats/examples/cost.rs
+++ b/crates/repeats/examples/cost.rs
@@ -15,15 +15,15 @@
     let mut cap = Cap::new(CapOptions::new("g00".into(), 12, (0..shards).collect()), life, 0, 1);
     let mut out = Vec::new();
     let peers = (0..12).map(|i| PeerName(format!("g{i:02}"))).collect();
-    cap.handle(0, Input::Peers(peers), &mut out);
+    cap.handle(0, Input::PeersChanged(peers), &mut out);
     let (requests, mut outputs) = (1_000_000_u32, 0);
     let began = Instant::now();
     for n in 0..requests {
         // 20,000 requests a second.
         let (now, shard) = (Micros::from(n) * 50, n % shards);
         black_box(cap.is_repeat(now, u64::from(n)));
-        cap.handle(now, Input::Sent { shard, further: false }, &mut out);
-        cap.handle(now + 20, Input::Ended { shard, served: true, refused: false }, &mut out);
+        cap.handle(now, Input::AttemptSent { shard, is_retry: false }, &mut out);
+        cap.handle(now + 20, Input::AttemptEnded { shard, served: true, refused: false }, &mut out);
         outputs += out.iter().filter(|o| matches!(o, Output::Allow(_))).count();
         out.clear();
     }
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -20,15 +20,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// An attempt was sent.
-    Sent {
+    AttemptSent {
         /// The shard it was sent to.
         shard: u32,
         /// Whether it is a retry, which needs a token: an attempt after the first of its request, any
         /// attempt of a request recognized as a repeat, or a shadow copy.
-        further: bool,
+        is_retry: bool,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The shard it was sent to.
         shard: u32,
         /// A node served it.
@@ -37,21 +37,21 @@
         refused: bool,
     },
     /// A request ended here unserved: a later one with the same key, here or at a peer, is its repeat.
-    Unserved {
+    RequestUnserved {
         /// Its key, from [`crate::request_key`].
         key: u64,
     },
     /// A request was rejected for lack of tokens.
-    Wanted {
+    RetryRejected {
         /// Its shard.
         shard: u32,
         /// The worth of answering it.
         worth: f64,
         /// The time that remained for it, microseconds.
-        left: Micros,
+        remaining: Micros,
     },
     /// The number of requests that wait in the scheduler for a token has changed.
-    Waiting {
+    RetriesWaiting {
         /// Their shard.
         shard: u32,
         /// How many wait now.
@@ -61,16 +61,16 @@
     },
     /// A node of a shard is cold, silent or refusing, as seen by this gateway or reported by the
     /// membership view; or none is any more.
-    Recovers {
+    NodeTrouble {
         /// The shard.
         shard: u32,
         /// Whether there is such a node.
-        on: bool,
+        present: bool,
     },
     /// The peers that may be asked for tokens, from the membership view.
-    Peers(Vec<PeerName>),
+    PeersChanged(Vec<PeerName>),
     /// A message of [`crate::KIND`] arrived from a peer.
-    Heard {
+    MessageReceived {
         /// The sender.
         from: PeerName,
         /// The sender's life.
@@ -79,7 +79,7 @@
         body: Vec<u8>,
     },
     /// This gateway continues under a new life: its accounts start over, empty for a window.
-    Renewed(Life),
+    LifeRenewed(Life),
     /// Time has passed.
     Tick,
 }
@@ -235,39 +235,41 @@
     /// Processes an event and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         let step_ended = self.advance(now, out);
-        let only_earns = !step_ended && matches!(input, Input::Ended { .. });
+        let only_earns = !step_ended && matches!(input, Input::AttemptEnded { .. });
         // Nothing expires between two steps, and most events concern one shard.
         let event_shard = match input {
-            Input::Sent { shard, .. }
-            | Input::Ended { shard, .. }
-            | Input::Wanted { shard, .. }
-            | Input::Waiting { shard, .. } => Some(shard),
+            Input::AttemptSent { shard, .. }
+            | Input::AttemptEnded { shard, .. }
+            | Input::RetryRejected { shard, .. }
+            | Input::RetriesWaiting { shard, .. } => Some(shard),
             _ => None,
         };
         match input {
-            Input::Sent { shard, further } => self.record_sent(now, shard, further),
-            Input::Ended { shard, served, refused: _ } => self.record_ended(now, shard, served),
-            Input::Unserved { key } => self.sketch.add(now, key),
-            Input::Wanted { shard, worth, left } => self.record_rejected(now, shard, worth, left),
-            Input::Waiting { shard, waiting, worth } => {
+            Input::AttemptSent { shard, is_retry } => self.record_sent(now, shard, is_retry),
+            Input::AttemptEnded { shard, served, refused: _ } => self.record_ended(now, shard, served),
+            Input::RequestUnserved { key } => self.sketch.add(now, key),
+            Input::RetryRejected { shard, worth, remaining } => {
+                self.record_rejected(now, shard, worth, remaining)
+            }
+            Input::RetriesWaiting { shard, waiting, worth } => {
                 if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
                     shard_cap.set_waiting(now, waiting, worth);
                 }
             }
-            Input::Recovers { shard, on } => {
+            Input::NodeTrouble { shard, present } => {
                 if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
-                    shard_cap.health.set_own_observation(on);
+                    shard_cap.health.set_own_observation(present);
                     self.evaluate_states(now, 0, out);
                 }
             }
-            Input::Peers(mut peers) => {
+            Input::PeersChanged(mut peers) => {
                 peers.retain(|p| *p != self.options.name);
                 peers.truncate(self.options.members.saturating_sub(1));
                 self.peers = peers;
                 self.update_base_tokens();
             }
-            Input::Heard { from, life: _, body } => self.receive(now, from, &body, out),
-            Input::Renewed(life) => self.start_new_life(now, life),
+            Input::MessageReceived { from, life: _, body } => self.receive(now, from, &body, out),
+            Input::LifeRenewed(life) => self.start_new_life(now, life),
             Input::Tick => {}
         }
         let overassigned = !only_earns && self.fleet.available() / ONE_TOKEN < self.assigned;
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -12,9 +12,9 @@
 const REJECTIONS_PER_DELAY: u64 = 64;
 
 impl Cap {
-    pub(crate) fn record_sent(&mut self, now: Micros, shard: u32, further: bool) {
+    pub(crate) fn record_sent(&mut self, now: Micros, shard: u32, is_retry: bool) {
         let Some(shard_cap) = self.shard_caps.get_mut(&shard) else { return };
-        if !further {
+        if !is_retry {
             return;
         }
         shard_cap.health.current_slice().retries += 1;
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) fn record_rejected(&mut self, now: Micros, shard: u32, worth: f64, left: Micros) {
+    pub(crate) fn record_rejected(&mut self, now: Micros, shard: u32, worth: f64, remaining: Micros) {
         let Some(shard_cap) = self.shard_caps.get_mut(&shard) else { return };
         shard_cap.held_back += 1;
         if shard_cap.held_back.is_multiple_of(REJECTIONS_PER_DELAY) {
@@ -54,7 +54,7 @@
         }
         // A request without the time left for a lease to arrive is rejected in any case, so it adds no
         // demand.
-        if left < self.durations.step {
+        if remaining < self.durations.step {
             return;
         }
         shard_cap.health.current_slice().rejected += 1;
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -69,14 +69,14 @@
         self.scheduler -= sent;
         for _ in 0..sent {
             self.allowances.spend(SHARD);
-            self.handle_input(Input::Sent { shard: SHARD, further: true });
+            self.handle_input(Input::AttemptSent { shard: SHARD, is_retry: true });
         }
         self.notify();
     }
 
     fn serve_requests(&mut self, times: u32) {
         for _ in 0..times {
-            self.handle_input(Input::Ended { shard: SHARD, served: true, refused: false });
+            self.handle_input(Input::AttemptEnded { shard: SHARD, served: true, refused: false });
         }
         self.notify();
     }
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -54,7 +54,7 @@
             retry_delays: Vec::new(),
         };
         for i in 0..members {
-            network.handle_input(i, Input::Peers((0..members).map(name).collect()));
+            network.handle_input(i, Input::PeersChanged((0..members).map(name).collect()));
         }
         network
     }
@@ -88,9 +88,9 @@
         for n in 0..most {
             if n < sent {
                 *self.allowed[i].entry(shard).or_default() -= 1;
-                self.handle_input(i, Input::Sent { shard, further: true });
+                self.handle_input(i, Input::AttemptSent { shard, is_retry: true });
             } else {
-                self.handle_input(i, Input::Wanted { shard, worth: 1.0, left: SECOND });
+                self.handle_input(i, Input::RetryRejected { shard, worth: 1.0, remaining: SECOND });
             }
         }
         sent
@@ -98,7 +98,7 @@
 
     fn end_attempts(&mut self, i: usize, served: bool, times: usize) {
         for _ in 0..times {
-            self.handle_input(i, Input::Ended { shard: 7, served, refused: !served });
+            self.handle_input(i, Input::AttemptEnded { shard: 7, served, refused: !served });
         }
     }
 
@@ -108,7 +108,7 @@
             self.now += STEP;
             let due: Vec<_> = self.messages.extract_if(.., |n| n.0 <= self.now).collect();
             for (_, from, to, body) in due {
-                self.handle_input(to, Input::Heard { from: name(from), life: life(1), body });
+                self.handle_input(to, Input::MessageReceived { from: name(from), life: life(1), body });
             }
             for i in 0..self.caps.len() {
                 if self.caps[i].next_due() <= self.now {
@@ -127,7 +127,7 @@
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
     network.advance(SECOND / 2);
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 4), (8, 4)]));
-    network.handle_input(0, Input::Renewed(life(2)));
+    network.handle_input(0, Input::LifeRenewed(life(2)));
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
 }
 
@@ -214,13 +214,13 @@
 fn a_recovering_shard_widens_as_requests_are_served() {
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
-    network.handle_input(0, Input::Recovers { shard: 7, on: true });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: true });
     assert_eq!(network.caps[0].state(7), ShardState::Recovering);
     network.advance(SECOND / 4);
     assert_eq!(network.caps[1].state(7), ShardState::Recovering, "as reported by a peer");
     assert_eq!(network.caps[1].state(8), ShardState::Normal);
     assert_eq!(network.allowed[0][&7], 1, "a quarter of four");
-    network.handle_input(0, Input::Recovers { shard: 7, on: false });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: false });
     network.advance(3 * SECOND);
     assert_eq!(network.caps[0].state(7), ShardState::Recovering, "nothing was served yet");
     for _ in 0..60 {
@@ -262,7 +262,7 @@
     let (mut recovering_part, steps) = (0, 600);
     for _ in 0..steps {
         for i in 1..4 {
-            network.handle_input(i, Input::Heard { from: name(0), life: life(1), body: fact(7) });
+            network.handle_input(i, Input::MessageReceived { from: name(0), life: life(1), body: fact(7) });
             // Few enough that the shard is not considered proven healthy, which would end the recovery.
             network.end_attempts(i, true, 1);
         }
@@ -290,7 +290,7 @@
 fn reports_about_a_shard_that_serves_well_here_are_ignored() {
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
-    network.handle_input(0, Input::Recovers { shard: 7, on: true });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: true });
     for _ in 0..120 {
         network.end_attempts(0, true, 10);
         network.advance(100_000);
@@ -302,7 +302,7 @@
 fn requests_unserved_at_a_peer_are_recognized() {
     for (fault, known) in [(None, true), (Some(InjectedFault::SketchForgetsEarly), false)] {
         let mut network = Network::new(3, fault);
-        network.handle_input(0, Input::Unserved { key: 99 });
+        network.handle_input(0, Input::RequestUnserved { key: 99 });
         assert!(network.caps[0].is_repeat(network.now, 99));
         network.advance(SECOND / 4);
         assert!(network.caps[1].is_repeat(network.now, 99) && !network.caps[1].is_repeat(network.now, 98));
@@ -325,7 +325,7 @@
     let before = network.allowed.clone();
     for _ in 0..5 {
         for body in [vec![1, 2, 3], vec![0; 20_000], fact(99)] {
-            network.handle_input(0, Input::Heard { from: name(1), life: life(1), body });
+            network.handle_input(0, Input::MessageReceived { from: name(1), life: life(1), body });
         }
     }
     assert_eq!(network.rejected_messages.len(), 3, "{:?}", network.rejected_messages);
@@ -337,7 +337,7 @@
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
     for _ in 0..7 {
-        network.handle_input(0, Input::Sent { shard: 7, further: true });
+        network.handle_input(0, Input::AttemptSent { shard: 7, is_retry: true });
     }
     network.allowed[0].insert(7, 0);
     network.end_attempts(0, true, 9);
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -58,13 +58,14 @@
         let sends: Vec<u32> = sends.iter().filter_map(|&shard| may(&mut self.scheduler, shard)).collect();
         for shard in sends {
             self.allowances.spend(shard);
-            self.handle_input(Input::Sent { shard, further: true });
+            self.handle_input(Input::AttemptSent { shard, is_retry: true });
         }
         self.notify();
     }
 
     fn served(&mut self, shard: u32, times: u32) {
-        (0..times).for_each(|_| self.handle_input(Input::Ended { shard, served: true, refused: false }));
+        (0..times)
+            .for_each(|_| self.handle_input(Input::AttemptEnded { shard, served: true, refused: false }));
         self.notify();
     }
 
@@ -106,7 +107,7 @@
             notes: Vec::new(),
             now: gateway.now,
         };
-        gateway.handle_input(Input::Waiting { shard: 1, waiting: 8, worth: 9.0 });
+        gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 8, worth: 9.0 });
         gateway.notify();
         let before = (gateway.scheduler.clone(), gateway.left(None));
         let mut sends = vec![1; first];
@@ -144,7 +145,7 @@
             let shard = 1 + random(3) as u32;
             gateway.served(shard, random(30) as u32);
             let waiting = random(6) as u32;
-            gateway.handle_input(Input::Waiting { shard: 1 + random(3) as u32, waiting, worth: 1.0 });
+            gateway.handle_input(Input::RetriesWaiting { shard: 1 + random(3) as u32, waiting, worth: 1.0 });
             gateway.notify();
             let sends: Vec<u32> = (0..random(8)).map(|_| 1 + random(3) as u32).collect();
             gateway.send_batch(&sends);
@@ -170,8 +171,8 @@
         gateway.send_batch(&[1]);
         gateway.advance(16_000);
     }
-    gateway.handle_input(Input::Waiting { shard: 1, waiting: 60, worth: 1e6 });
-    gateway.handle_input(Input::Waiting { shard: 2, waiting: 1, worth: 1.0 });
+    gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 60, worth: 1e6 });
+    gateway.handle_input(Input::RetriesWaiting { shard: 2, waiting: 1, worth: 1.0 });
     gateway.notify();
     let (mut longest, mut since) = (0, None::<Micros>);
     let end = gateway.now + 3 * SECOND;
@@ -182,7 +183,7 @@
         longest = longest.max(since.map_or(0, |since| gateway.now - since));
         if gateway.scheduler[&1] > 0 {
             gateway.send_batch(&[1]);
-            gateway.handle_input(Input::Waiting { shard: 1, waiting: 60, worth: 1e6 });
+            gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 60, worth: 1e6 });
         }
     }
     assert!(longest <= 16_000, "shard 2 was allowed nothing for {longest} us with tokens available");
@@ -200,10 +201,10 @@
         recovering_share: 0.0,
         ..options(vec![1, 2], 16.0)
     });
-    gateway.handle_input(Input::Peers(vec![peer.clone()]));
+    gateway.handle_input(Input::PeersChanged(vec![peer.clone()]));
     gateway.advance(2 * SECOND + 1_000);
     gateway.send_batch(&[1]);
-    gateway.handle_input(Input::Waiting { shard: 1, waiting: 3, worth: 1.0 });
+    gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 3, worth: 1.0 });
     gateway.notify();
     let mut request = None;
     for _ in 0..40 {
@@ -226,7 +227,7 @@
     };
     let body = peer::wire::encode(&CapMessage { grants: vec![grant], ..CapMessage::default() });
     let life = Life { incarnation: Incarnation(1), nonce: Nonce(2) };
-    gateway.handle_input(Input::Heard { from: peer, life, body });
+    gateway.handle_input(Input::MessageReceived { from: peer, life, body });
     gateway.notify();
     let came = gateway.now;
     while gateway.scheduler[&1] == 0 && gateway.now < came + SECOND {
@@ -250,13 +251,13 @@
     gateway.send_batch(&[1]);
     gateway.advance(20_000);
     while gateway.left(None) > 0 {
-        gateway.handle_input(Input::Waiting { shard: 1, waiting: 64, worth: 1.0 });
+        gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 64, worth: 1.0 });
         gateway.notify();
         gateway.send_batch(&[1, 1, 1, 1]);
         gateway.advance(20_000);
     }
     assert_eq!((gateway.left(None), gateway.left(Some(1)), gateway.left(Some(2))), (0, 0, 4));
-    gateway.handle_input(Input::Waiting { shard: 2, waiting: 1, worth: 1.0 });
+    gateway.handle_input(Input::RetriesWaiting { shard: 2, waiting: 1, worth: 1.0 });
     gateway.notify();
     let began = gateway.now;
     while gateway.scheduler[&2] == 0 && gateway.now < began + 600_000 {
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -160,7 +160,7 @@
         self.gateways[gateway].start(self.now, source, fault, options, seed);
         let peers: Vec<PeerName> =
             (0..self.scenario.gateways).filter(|&i| !self.is_partitioned(gateway, i)).map(name).collect();
-        self.handle_input(gateway, Input::Peers(peers));
+        self.handle_input(gateway, Input::PeersChanged(peers));
     }
 
     fn process(&mut self, event: Event) {
@@ -175,7 +175,7 @@
             Event::TimedOut { request, try_number } => self.handle_reply(request, try_number, false, None),
             Event::Message { from, life: n, to, body } => {
                 if self.gateways[to].up {
-                    self.handle_input(to, Input::Heard { from: name(from), life: life(n), body });
+                    self.handle_input(to, Input::MessageReceived { from: name(from), life: life(n), body });
                 }
             }
             Event::Tick => {
@@ -189,7 +189,7 @@
                             .filter(|&i| !self.is_partitioned(gateway, i))
                             .map(name)
                             .collect();
-                        self.handle_input(gateway, Input::Peers(peers));
+                        self.handle_input(gateway, Input::PeersChanged(peers));
                     }
                     if self.gateways[gateway].is_due(self.now) {
                         self.handle_input(gateway, Input::Tick);
@@ -278,9 +278,9 @@
     }
 
     fn hold_back(&mut self, request: usize, gateway: usize, try_number: u32, come_back: Option<Micros>) {
-        let (shard, left) = (self.requests[request].shard, CLIENT_TIMEOUT);
+        let (shard, remaining) = (self.requests[request].shard, CLIENT_TIMEOUT);
         self.gateways[gateway].held_back += 1;
-        self.handle_input(gateway, Input::Wanted { shard, worth: 1.0, left });
+        self.handle_input(gateway, Input::RetryRejected { shard, worth: 1.0, remaining });
         self.schedule_between(
             MILLI,
             2 * MILLI,
@@ -288,12 +288,12 @@
         );
     }
 
-    fn send(&mut self, request: usize, gateway: usize, try_number: u32, attempt_number: u32, further: bool) {
+    fn send(&mut self, request: usize, gateway: usize, try_number: u32, attempt_number: u32, is_retry: bool) {
         let shard = self.requests[request].shard;
         let node = shard as usize * self.scenario.nodes + self.rng.random_range(0..self.scenario.nodes);
         let (attempt, life) = (self.attempts.len(), self.gateways[gateway].life);
         self.attempts.push(Attempt { request, try_number, gateway, life, node, attempt_number, open: true });
-        self.handle_input(gateway, Input::Sent { shard, further });
+        self.handle_input(gateway, Input::AttemptSent { shard, is_retry });
         self.schedule_between(MILLI / 2, 2 * MILLI, Event::AtNode { attempt });
         self.schedule(self.now + NODE_TIMEOUT, Event::End { attempt, outcome: End::NoAnswer });
     }
@@ -330,18 +330,18 @@
         let (shard, key) = (self.requests[request].shard, self.requests[request].key);
         self.handle_input(
             gateway,
-            Input::Ended { shard, served: outcome == End::Served, refused: outcome == End::Refused },
+            Input::AttemptEnded { shard, served: outcome == End::Served, refused: outcome == End::Refused },
         );
         let unanswered = self.gateways[gateway].unanswered.entry(node).or_default();
         *unanswered = if outcome == End::NoAnswer { *unanswered + 1 } else { 0 };
         // This gateway's own observation: three attempts in a row without an answer, or a node that
         // started so recently that it is cold.
         let first = shard as usize * self.scenario.nodes;
-        let on = (first..first + self.scenario.nodes).any(|n| {
+        let present = (first..first + self.scenario.nodes).any(|n| {
             self.gateways[gateway].unanswered.get(&n).is_some_and(|&m| m >= 3)
                 || self.nodes[n].is_cold(self.now)
         });
-        self.handle_input(gateway, Input::Recovers { shard, on });
+        self.handle_input(gateway, Input::NodeTrouble { shard, present });
         if outcome == End::Served {
             self.schedule_between(
                 MILLI,
@@ -357,12 +357,12 @@
             match self.gateways[gateway].try_retry(shard) {
                 Ok(()) => return self.send(request, gateway, try_number, attempt_number + 1, true),
                 Err(come_back) => {
-                    self.handle_input(gateway, Input::Unserved { key });
+                    self.handle_input(gateway, Input::RequestUnserved { key });
                     return self.hold_back(request, gateway, try_number, come_back);
                 }
             }
         }
-        self.handle_input(gateway, Input::Unserved { key });
+        self.handle_input(gateway, Input::RequestUnserved { key });
         self.schedule_between(
             MILLI,
             2 * MILLI,
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -57,14 +57,14 @@
             if shard_account.recovers { o.recovering_share } else { o.share }
         };
         match input {
-            Input::Sent { shard, further: true } => {
+            Input::AttemptSent { shard, is_retry: true } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.account.spend(now, ONE_TOKEN);
                     shard_account.need += 1;
                     shard_account.allowed = shard_account.allowed.map(|a| a.saturating_sub(1));
                 }
             }
-            Input::Ended { shard, served: true, .. } => {
+            Input::AttemptEnded { shard, served: true, .. } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.served += 1;
                     if shard_account.steward == self.index {
@@ -74,23 +74,23 @@
                     }
                 }
             }
-            Input::Wanted { shard, .. } => {
+            Input::RetryRejected { shard, .. } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.need += 1;
                 }
             }
-            Input::Recovers { shard, on } => {
+            Input::NodeTrouble { shard, present } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
-                    shard_account.recovers = on;
+                    shard_account.recovers = present;
                     let part = self.even.get(&shard).copied().unwrap_or(0) as f64;
-                    shard_account.account.set_base(if on {
+                    shard_account.account.set_base(if present {
                         (part * RECOVERING_FREE_PART) as u64
                     } else {
                         part as u64
                     });
                 }
             }
-            Input::Heard { from, body, .. } => {
+            Input::MessageReceived { from, body, .. } => {
                 let Ok(message) = CapMessage::decode(&body) else { return };
                 for request in &message.wants {
                     let Some(shard_account) = request.shard.and_then(|s| self.shard_accounts.get_mut(&s))
--- a/crates/repeats/tests/telling.rs
+++ b/crates/repeats/tests/telling.rs
@@ -71,7 +71,7 @@
 
     fn handle_input(&mut self, input: Input) {
         let mut out = Vec::new();
-        if let Input::Sent { shard, further: true } = input {
+        if let Input::AttemptSent { shard, is_retry: true } = input {
             *self.allowed.entry(shard).or_default() -= 1;
         }
         self.cap.handle(self.now, input, &mut out);
@@ -138,14 +138,14 @@
         match event {
             Event::Served(shard, count) => {
                 for _ in 0..count {
-                    self.handle_input(Input::Ended { shard, served: true, refused: false });
+                    self.handle_input(Input::AttemptEnded { shard, served: true, refused: false });
                 }
             }
             Event::Repeats(shard, count) => {
                 for _ in 0..count {
                     let input = match self.allowed(shard) {
-                        0 => Input::Wanted { shard, worth: 1.0, left: WINDOW },
-                        _ => Input::Sent { shard, further: true },
+                        0 => Input::RetryRejected { shard, worth: 1.0, remaining: WINDOW },
+                        _ => Input::AttemptSent { shard, is_retry: true },
                     };
                     self.handle_input(input);
                 }
