--- a/crates/capacity/src/parts/notes.rs
+++ b/crates/capacity/src/parts/notes.rs
@@ -145,7 +145,7 @@
                     }
                 }
                 Output::Allow(a) if a.shard == 0 => self.allowed[at] = a.further,
-                Output::Allow(_) | Output::Entered { .. } | Output::TurnedAway { .. } => {}
+                Output::Allow(_) | Output::StateChanged { .. } | Output::MessageRejected { .. } => {}
             }
         }
     }
--- a/crates/gateway/src/rights.rs
+++ b/crates/gateway/src/rights.rs
@@ -199,9 +199,11 @@
             match output {
                 Output::Send { to, body } => self.company.note_to(&to, KIND, body),
                 Output::Allow(allowance) => self.allowances.say(allowance),
-                Output::Entered { shard, state, why } => tracing::info!(shard, ?state, why, "repeats"),
-                Output::TurnedAway { from, why } => {
-                    tracing::warn!(%from, why, "something that a member said of repeats was turned away");
+                Output::StateChanged { shard, state, reason } => {
+                    tracing::info!(shard, ?state, why = reason, "repeats")
+                }
+                Output::MessageRejected { from, reason } => {
+                    tracing::warn!(%from, why = reason, "something that a member said of repeats was turned away");
                 }
             }
         }
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -109,20 +109,20 @@
     /// Notify the scheduler of an allowance, which replaces the one before.
     Allow(Allowance),
     /// The state of a shard changed, or its step within [`ShardState::Widening`].
-    Entered {
+    StateChanged {
         /// The shard.
         shard: u32,
         /// The new state.
         state: ShardState,
         /// The reason, for the log and the status page.
-        why: &'static str,
+        reason: &'static str,
     },
     /// Part of a message was rejected; for the log, once for each reason and peer.
-    TurnedAway {
+    MessageRejected {
         /// The sender.
         from: PeerName,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -138,9 +138,9 @@
             if after < before && before > 0.0 {
                 shard_cap.account.scale_held(after / before);
             }
-            let (state, _, why) = shard_cap.health.state();
+            let (state, _, reason) = shard_cap.health.state();
             shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
-            out.push(Output::Entered { shard: shard_cap.shard, state, why });
+            out.push(Output::StateChanged { shard: shard_cap.shard, state, reason });
         }
         if changed {
             self.update_base_tokens();
--- a/crates/repeats/src/messaging.rs
+++ b/crates/repeats/src/messaging.rs
@@ -24,11 +24,11 @@
         out.push(Output::Send { to, body });
     }
 
-    fn reject(&mut self, from: PeerName, why: &'static str, out: &mut Vec<Output>) {
+    fn reject(&mut self, from: PeerName, reason: &'static str, out: &mut Vec<Output>) {
         if self.reported_rejections.len() < MAX_REPORTED_REJECTIONS
-            && self.reported_rejections.insert((from.clone(), why))
+            && self.reported_rejections.insert((from.clone(), reason))
         {
-            out.push(Output::TurnedAway { from, why });
+            out.push(Output::MessageRejected { from, reason });
         }
     }
 
@@ -85,7 +85,7 @@
         self.counts.notes_in += 1;
         let message = match CapMessage::decode(body) {
             Ok(message) => message,
-            Err(why) => return self.reject(from, why, out),
+            Err(reason) => return self.reject(from, reason, out),
         };
         for observation in &message.facts {
             match self.shard_caps.get_mut(&observation.shard) {
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -75,8 +75,10 @@
                     self.allowance_counts[i] += 1;
                     self.retry_delays.push((i, a.come_back));
                 }
-                Output::Entered { state, why, .. } => self.state_changes.push((self.now, i, state, why)),
-                Output::TurnedAway { from, why } => self.rejected_messages.push((i, from, why)),
+                Output::StateChanged { state, reason, .. } => {
+                    self.state_changes.push((self.now, i, state, reason))
+                }
+                Output::MessageRejected { from, reason } => self.rejected_messages.push((i, from, reason)),
             }
         }
     }
--- a/crates/repeats/tests/rig/gateway.rs
+++ b/crates/repeats/tests/rig/gateway.rs
@@ -97,7 +97,7 @@
                 Output::Allow(a) => {
                     self.allowed.insert(a.shard, (a.further, a.come_back));
                 }
-                Output::Entered { .. } | Output::TurnedAway { .. } => {}
+                Output::StateChanged { .. } | Output::MessageRejected { .. } => {}
             }
         }
         messages
