--- a/crates/capacity/src/parts/notes.rs
+++ b/crates/capacity/src/parts/notes.rs
@@ -144,7 +144,7 @@
                         self.notes.push((at, to, body));
                     }
                 }
-                Output::Allow(a) if a.shard == 0 => self.allowed[at] = a.further,
+                Output::Allow(a) if a.shard == 0 => self.allowed[at] = a.retries,
                 Output::Allow(_) | Output::StateChanged { .. } | Output::MessageRejected { .. } => {}
             }
         }
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -91,7 +91,7 @@
         if let Some(most) = rights.new_await_limit(allowance.shard) {
             self.core.limit_awaiting(now, shard, most);
         }
-        self.core.allow(now, shard, allowance.further, allowance.come_back, &mut self.effects);
+        self.core.allow(now, shard, allowance.retries, allowance.retry_after, &mut self.effects);
         true
     }
 
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -165,8 +165,9 @@
         if self.limits.insert(allowance.shard, most) != Some(most) {
             self.give(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
         }
-        self.left = allowance.further;
-        let (shard, further, come_back) = (ShardId(allowance.shard), allowance.further, allowance.come_back);
+        self.left = allowance.retries;
+        let (shard, further, come_back) =
+            (ShardId(allowance.shard), allowance.retries, allowance.retry_after);
         self.give(Event::Allowance { shard, further, come_back });
         true
     }
--- a/crates/repeats/src/allowances.rs
+++ b/crates/repeats/src/allowances.rs
@@ -27,7 +27,7 @@
     /// Counts an attempt that the scheduler sent with a token of a shard.
     pub fn spend(&mut self, shard: u32) {
         if let Some(allowance) = self.last.get_mut(&shard) {
-            allowance.further = allowance.further.saturating_sub(1);
+            allowance.retries = allowance.retries.saturating_sub(1);
         }
     }
 
@@ -40,7 +40,7 @@
 
     /// What remains of the allowance of a shard; none before the first.
     pub fn left(&self, shard: u32) -> Option<u32> {
-        self.last.get(&shard).map(|allowance| allowance.further)
+        self.last.get(&shard).map(|allowance| allowance.retries)
     }
 
     /// The next allowance to notify the scheduler of. Attempts that it sends in response must be counted
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -90,9 +90,9 @@
     /// The shard.
     pub shard: u32,
     /// Retries that may be sent from now on.
-    pub further: u32,
+    pub retries: u32,
     /// How long rejected requests should stay away before they retry, microseconds.
-    pub come_back: Micros,
+    pub retry_after: Micros,
 }
 
 /// What the caller has to do, in this order: a lowered allowance precedes the message that leases the
@@ -352,7 +352,7 @@
                 why: String::new(),
                 left: whole_tokens(account.available()),
                 allowed: 0,
-                come_back: 0,
+                retry_after: 0,
                 lent: whole_tokens(totals.lent),
                 borrowed: whole_tokens(totals.borrowed),
                 earned: whole_tokens(totals.earned),
@@ -375,8 +375,9 @@
                 held_back,
                 ..snapshot(&shard_cap.account, Some(shard_cap.shard))
             };
-            let (come_back, not_told, waiting) = (shard_cap.come_back, shard_cap.not_told, shard_cap.waiting);
-            let one = ShardLook { come_back, not_told, waiting, ..one };
+            let (retry_after, not_told, waiting) =
+                (shard_cap.retry_after, shard_cap.not_told, shard_cap.waiting);
+            let one = ShardLook { retry_after, not_told, waiting, ..one };
             if matches!(state, ShardState::Recovering) || fleet.why.is_empty() {
                 (fleet.state, fleet.since, fleet.why) = (state, one.since, one.why.clone());
             }
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -112,7 +112,7 @@
                 } else if shard_cap.waiting == 0 {
                     shard_cap.highest_worth = 0.0;
                     // A retry delay drawn during trouble that is over does not apply to the next.
-                    if !shard_cap.has_reduced_limits() && shard_cap.come_back > 4 * self.durations.slice {
+                    if !shard_cap.has_reduced_limits() && shard_cap.retry_after > 4 * self.durations.slice {
                         shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
                     }
                 }
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -50,7 +50,7 @@
     /// Retries that the scheduler may still send; none before the first notification.
     pub(crate) allowed: Option<u32>,
     pub(crate) notified_at: Micros,
-    pub(crate) come_back: Micros,
+    pub(crate) retry_after: Micros,
     /// The highest worth among recently rejected requests, and since when no retry has been allowed.
     pub(crate) highest_worth: f64,
     pub(crate) none_allowed_since: Option<Micros>,
@@ -81,7 +81,7 @@
             fleet_quota: 0,
             allowed: None,
             notified_at: now,
-            come_back: 0,
+            retry_after: 0,
             highest_worth: 0.0,
             none_allowed_since: None,
             held_back: 0,
@@ -192,7 +192,7 @@
         // one slice. Slices and gateways draw independently.
         let max_delay =
             (span as Micros).clamp(4 * durations.slice, options.most_advice.max(4 * durations.slice));
-        self.come_back = rng.random_range(durations.slice..=max_delay).min(options.most_advice);
+        self.retry_after = rng.random_range(durations.slice..=max_delay).min(options.most_advice);
     }
 
     /// The allowance that the scheduler has to be notified of now, if any. Decreases are reported at
@@ -226,6 +226,6 @@
             return None;
         }
         (self.allowed, self.notified_at, self.may_wait) = (Some(sendable), now, may_wait);
-        Some(Allowance { shard: self.shard, further: sendable, come_back: self.come_back })
+        Some(Allowance { shard: self.shard, retries: sendable, retry_after: self.retry_after })
     }
 }
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -22,7 +22,8 @@
     /// Retries that the scheduler may send now.
     pub allowed: u32,
     /// The retry delay advised to rejected requests, microseconds.
-    pub come_back: Micros,
+    #[serde(rename = "come_back")]
+    pub retry_after: Micros,
     /// Tokens leased to peers.
     pub lent: f64,
     /// Tokens borrowed from peers.
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -53,10 +53,10 @@
     fn notify(&mut self) {
         let issued = std::mem::take(&mut self.issued);
         match self.notification {
-            Notification::AsIssued => issued.iter().for_each(|allowance| self.scheduler = allowance.further),
+            Notification::AsIssued => issued.iter().for_each(|allowance| self.scheduler = allowance.retries),
             Notification::LessSentAttempts => {
                 while let Some(allowance) = self.allowances.next_untold() {
-                    self.scheduler = allowance.further;
+                    self.scheduler = allowance.retries;
                 }
             }
         }
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -71,9 +71,9 @@
                     }
                 }
                 Output::Allow(a) => {
-                    self.allowed[i].insert(a.shard, a.further);
+                    self.allowed[i].insert(a.shard, a.retries);
                     self.allowance_counts[i] += 1;
-                    self.retry_delays.push((i, a.come_back));
+                    self.retry_delays.push((i, a.retry_after));
                 }
                 Output::StateChanged { state, reason, .. } => {
                     self.state_changes.push((self.now, i, state, reason))
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -43,7 +43,7 @@
 
     fn notify(&mut self) {
         while let Some(allowance) = self.allowances.next_untold() {
-            self.scheduler.insert(allowance.shard, allowance.further);
+            self.scheduler.insert(allowance.shard, allowance.retries);
         }
     }
 
--- a/crates/repeats/tests/rig/event.rs
+++ b/crates/repeats/tests/rig/event.rs
@@ -7,7 +7,7 @@
     Try { request: usize, gateway: usize },
     AtNode { attempt: usize },
     End { attempt: usize, outcome: End },
-    Reply { request: usize, try_number: u32, served: bool, come_back: Option<Micros> },
+    Reply { request: usize, try_number: u32, served: bool, retry_after: Option<Micros> },
     TimedOut { request: usize, try_number: u32 },
     Message { from: usize, life: u64, to: usize, body: Vec<u8> },
     Tick,
--- a/crates/repeats/tests/rig/gateway.rs
+++ b/crates/repeats/tests/rig/gateway.rs
@@ -95,7 +95,7 @@
             match output {
                 Output::Send { to, body } => messages.push((to, body)),
                 Output::Allow(a) => {
-                    self.allowed.insert(a.shard, (a.further, a.come_back));
+                    self.allowed.insert(a.shard, (a.retries, a.retry_after));
                 }
                 Output::StateChanged { .. } | Output::MessageRejected { .. } => {}
             }
@@ -119,11 +119,11 @@
             return Ok(());
         }
         match self.allowed.get_mut(&shard) {
-            Some((further, _)) if *further > 0 => {
-                *further -= 1;
+            Some((retries, _)) if *retries > 0 => {
+                *retries -= 1;
                 Ok(())
             }
-            Some((_, come_back)) => Err(Some(*come_back)),
+            Some((_, retry_after)) => Err(Some(*retry_after)),
             None => Err(None),
         }
     }
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -169,8 +169,8 @@
             Event::Try { request, gateway } => self.handle_client_request(request, gateway),
             Event::AtNode { attempt } => self.at_node(attempt),
             Event::End { attempt, outcome } => self.end(attempt, outcome),
-            Event::Reply { request, try_number, served, come_back } => {
-                self.handle_reply(request, try_number, served, come_back)
+            Event::Reply { request, try_number, served, retry_after } => {
+                self.handle_reply(request, try_number, served, retry_after)
             }
             Event::TimedOut { request, try_number } => self.handle_reply(request, try_number, false, None),
             Event::Message { from, life: n, to, body } => {
@@ -241,7 +241,7 @@
         self.schedule(self.now + wait + CLIENT_TIMEOUT, Event::TimedOut { request, try_number });
     }
 
-    fn handle_reply(&mut self, request: usize, try_number: u32, served: bool, come_back: Option<Micros>) {
+    fn handle_reply(&mut self, request: usize, try_number: u32, served: bool, retry_after: Option<Micros>) {
         let r = &mut self.requests[request];
         if r.done || r.tries != try_number {
             return;
@@ -252,7 +252,7 @@
             return;
         }
         let own = if r.is_marked { 100 * MILLI } else { 200 * MILLI };
-        let wait = come_back.unwrap_or(own) + self.rng.random_range(0..50 * MILLI);
+        let wait = retry_after.unwrap_or(own) + self.rng.random_range(0..50 * MILLI);
         let r = &mut self.requests[request];
         if r.tries >= TRIES || self.now + wait - r.created > REQUEST_TIMEOUT {
             r.done = true;
@@ -273,18 +273,18 @@
         }
         match self.gateways[gateway].try_retry(shard) {
             Ok(()) => self.send(request, gateway, try_number, 1, true),
-            Err(come_back) => self.hold_back(request, gateway, try_number, come_back),
+            Err(retry_after) => self.reject(request, gateway, try_number, retry_after),
         }
     }
 
-    fn hold_back(&mut self, request: usize, gateway: usize, try_number: u32, come_back: Option<Micros>) {
+    fn reject(&mut self, request: usize, gateway: usize, try_number: u32, retry_after: Option<Micros>) {
         let (shard, remaining) = (self.requests[request].shard, CLIENT_TIMEOUT);
         self.gateways[gateway].held_back += 1;
         self.handle_input(gateway, Input::RetryRejected { shard, worth: 1.0, remaining });
         self.schedule_between(
             MILLI,
             2 * MILLI,
-            Event::Reply { request, try_number, served: false, come_back },
+            Event::Reply { request, try_number, served: false, retry_after },
         );
     }
 
@@ -346,7 +346,7 @@
             self.schedule_between(
                 MILLI,
                 2 * MILLI,
-                Event::Reply { request, try_number, served: true, come_back: None },
+                Event::Reply { request, try_number, served: true, retry_after: None },
             );
             return;
         }
@@ -356,9 +356,9 @@
         {
             match self.gateways[gateway].try_retry(shard) {
                 Ok(()) => return self.send(request, gateway, try_number, attempt_number + 1, true),
-                Err(come_back) => {
+                Err(retry_after) => {
                     self.handle_input(gateway, Input::RequestUnserved { key });
-                    return self.hold_back(request, gateway, try_number, come_back);
+                    return self.reject(request, gateway, try_number, retry_after);
                 }
             }
         }
@@ -366,7 +366,7 @@
         self.schedule_between(
             MILLI,
             2 * MILLI,
-            Event::Reply { request, try_number, served: false, come_back: None },
+            Event::Reply { request, try_number, served: false, retry_after: None },
         );
     }
 }
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -137,8 +137,8 @@
             let target = (shard_account.account.available() / ONE_TOKEN) as u32;
             if shard_account.allowed != Some(target) {
                 shard_account.allowed = Some(target);
-                let come_back = self.options.warming;
-                out.push(Output::Allow(Allowance { shard, further: target, come_back }));
+                let retry_after = self.options.warming;
+                out.push(Output::Allow(Allowance { shard, retries: target, retry_after }));
             }
         }
     }
--- a/crates/repeats/tests/telling.rs
+++ b/crates/repeats/tests/telling.rs
@@ -77,7 +77,7 @@
         self.cap.handle(self.now, input, &mut out);
         for output in out {
             if let Output::Allow(allowance) = output {
-                self.allowed.insert(allowance.shard, allowance.further.into());
+                self.allowed.insert(allowance.shard, allowance.retries.into());
             }
         }
         self.check_bounds(true);
