--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -79,7 +79,7 @@
 
     /// The next allowance for the module. Sends that result from it must be reported before the next call.
     pub(crate) fn next_allowance(&mut self) -> Option<Allowance> {
-        self.allowances.next_untold()
+        self.allowances.next_notification()
     }
 
     /// The limit of requests waiting for a shard's retry tokens, if it differs from what the module was
@@ -115,12 +115,12 @@
     /// Whether a shadow copy may be sent to a shard: only beside normal traffic, and with a retry token of
     /// its own.
     pub(crate) fn allows_copy(&self, shard: u32) -> bool {
-        self.cap.state(shard) == ShardState::Normal && self.allowances.left(shard).is_some_and(|n| n > 0)
+        self.cap.state(shard) == ShardState::Normal && self.allowances.remaining(shard).is_some_and(|n| n > 0)
     }
 
     /// A shadow copy is sent.
     pub(crate) fn copy_sent(&mut self, now: Micros, shard: u32) {
-        self.allowances.take(shard);
+        self.allowances.spend_and_notify(shard);
         self.handle(now, Input::AttemptSent { shard, is_retry: true });
     }
 
@@ -205,7 +205,7 @@
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, body } => self.peer_network.note_to(&to, KIND, body),
-                Output::Allow(allowance) => self.allowances.say(allowance),
+                Output::Allow(allowance) => self.allowances.set(allowance),
                 Output::StateChanged { shard, state, reason } => {
                     tracing::info!(shard, ?state, why = reason, "repeats")
                 }
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -142,7 +142,7 @@
         for output in out {
             if let Output::Allow(allowance) = output {
                 self.allowances_given += 1;
-                self.allowances.say(allowance);
+                self.allowances.set(allowance);
             }
         }
     }
@@ -165,7 +165,7 @@
             self.max_waiting = self.max_waiting.max(self.waiting);
             self.cap_input(Input::RetriesWaiting { shard: shard.0, waiting, worth });
         }
-        let Some(allowance) = self.allowances.next_untold() else { return false };
+        let Some(allowance) = self.allowances.next_notification() else { return false };
         let most = self.cap.may_wait(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
             self.module_input(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
@@ -381,8 +381,8 @@
 fn a_shadow_copy_reduces_the_allowance_of_the_module_too() {
     let mut coupled = Coupled::new(0.0);
     // As in the engine's `allows_copy` and `copy_sent`.
-    assert_eq!(coupled.allowances.left(SHARD), Some(4));
-    coupled.allowances.take(SHARD);
+    assert_eq!(coupled.allowances.remaining(SHARD), Some(4));
+    coupled.allowances.spend_and_notify(SHARD);
     coupled.cap_input(Input::AttemptSent { shard: SHARD, is_retry: true });
     coupled.run_actions();
     (1..=8).for_each(|id| coupled.submit(id));
--- a/crates/repeats/src/allowances.rs
+++ b/crates/repeats/src/allowances.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Allowances {
     last: BTreeMap<u32, Allowance>,
-    untold: BTreeSet<u32>,
+    pending: BTreeSet<u32>,
 }
 
 impl Allowances {
     /// Sets the allowance of a shard, in place of the one before.
-    pub fn say(&mut self, allowance: Allowance) {
+    pub fn set(&mut self, allowance: Allowance) {
         self.last.insert(allowance.shard, allowance);
-        self.untold.insert(allowance.shard);
+        self.pending.insert(allowance.shard);
     }
 
     /// Counts an attempt that the scheduler sent with a token of a shard.
@@ -33,20 +33,20 @@
 
     /// Takes a token for something other than an attempt of the scheduler, which has to be notified of
     /// it.
-    pub fn take(&mut self, shard: u32) {
+    pub fn spend_and_notify(&mut self, shard: u32) {
         self.spend(shard);
-        self.untold.insert(shard);
+        self.pending.insert(shard);
     }
 
     /// What remains of the allowance of a shard; none before the first.
-    pub fn left(&self, shard: u32) -> Option<u32> {
+    pub fn remaining(&self, shard: u32) -> Option<u32> {
         self.last.get(&shard).map(|allowance| allowance.retries)
     }
 
     /// The next allowance to notify the scheduler of. Attempts that it sends in response must be counted
     /// by `spend` before the next call.
-    pub fn next_untold(&mut self) -> Option<Allowance> {
-        let shard = self.untold.pop_first()?;
+    pub fn next_notification(&mut self) -> Option<Allowance> {
+        let shard = self.pending.pop_first()?;
         self.last.get(&shard).copied()
     }
 }
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -44,7 +44,7 @@
         for output in out {
             if let Output::Allow(allowance) = output {
                 self.issued.push(allowance);
-                self.allowances.say(allowance);
+                self.allowances.set(allowance);
             }
         }
     }
@@ -55,7 +55,7 @@
         match self.notification {
             Notification::AsIssued => issued.iter().for_each(|allowance| self.scheduler = allowance.retries),
             Notification::LessSentAttempts => {
-                while let Some(allowance) = self.allowances.next_untold() {
+                while let Some(allowance) = self.allowances.next_notification() {
                     self.scheduler = allowance.retries;
                 }
             }
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -34,7 +34,7 @@
         self.cap.handle(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::Allow(allowance) => self.allowances.say(allowance),
+                Output::Allow(allowance) => self.allowances.set(allowance),
                 Output::Send { to, body } => self.notes.push((to, body)),
                 _ => {}
             }
@@ -42,7 +42,7 @@
     }
 
     fn notify(&mut self) {
-        while let Some(allowance) = self.allowances.next_untold() {
+        while let Some(allowance) = self.allowances.next_notification() {
             self.scheduler.insert(allowance.shard, allowance.retries);
         }
     }
