--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -74,7 +74,7 @@
 
     /// Whether the allowance given to the module is out of date.
     pub(crate) fn is_stale(&self, now: Micros) -> bool {
-        self.cap.is_behind(now)
+        self.cap.needs_tick(now)
     }
 
     /// The next allowance for the module. Sends that result from it must be reported before the next call.
@@ -85,7 +85,7 @@
     /// The limit of requests waiting for a shard's retry tokens, if it differs from what the module was
     /// given.
     pub(crate) fn new_waiting_limit(&mut self, shard: u32) -> Option<u32> {
-        let limit = self.cap.may_wait(shard);
+        let limit = self.cap.wait_limit(shard);
         (self.waiting_limits.insert(shard, limit) != Some(limit)).then_some(limit)
     }
 
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -166,7 +166,7 @@
             self.cap_input(Input::RetriesWaiting { shard: shard.0, waiting, worth });
         }
         let Some(allowance) = self.allowances.next_notification() else { return false };
-        let most = self.cap.may_wait(allowance.shard);
+        let most = self.cap.wait_limit(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
             self.module_input(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
         }
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -312,7 +312,7 @@
 
     /// Whether tokens may have expired since the last event. If so, the allowances are no longer valid
     /// and [`Input::Tick`] has to be passed first.
-    pub fn is_behind(&self, now: Micros) -> bool {
+    pub fn needs_tick(&self, now: Micros) -> bool {
         now >= self.next_step
     }
 
@@ -330,8 +330,8 @@
 
     /// How many requests may wait in the scheduler for a token of a shard, until its next
     /// [`Output::Allow`].
-    pub fn may_wait(&self, shard: u32) -> u32 {
-        self.shard_caps.get(&shard).map_or(0, |shard_cap| shard_cap.may_wait)
+    pub fn wait_limit(&self, shard: u32) -> u32 {
+        self.shard_caps.get(&shard).map_or(0, |shard_cap| shard_cap.wait_limit)
     }
 
     /// Totals of this life.
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -61,7 +61,7 @@
     pub(crate) waiting: u32,
     pub(crate) waiting_since: Option<Micros>,
     /// The wait limit in the last notification.
-    pub(crate) may_wait: u32,
+    pub(crate) wait_limit: u32,
 }
 
 impl ShardCap {
@@ -88,7 +88,7 @@
             not_told: 0,
             waiting: 0,
             waiting_since: None,
-            may_wait: 0,
+            wait_limit: 0,
         };
         shard_cap.draw_retry_after(options, durations, rng);
         shard_cap
@@ -208,7 +208,7 @@
         durations: &Durations,
     ) -> Option<Allowance> {
         let sendable = self.sendable();
-        let may_wait = self.compute_wait_limit(now, options, durations);
+        let wait_limit = self.compute_wait_limit(now, options, durations);
         if sendable > 0 {
             self.none_allowed_since = None;
         }
@@ -220,12 +220,12 @@
                 now >= self.notified_at.saturating_add(durations.step)
                     && sendable - before >= (before / 4).max(1)
             }
-            Some(_) => self.notified_at == Micros::MIN || may_wait != self.may_wait,
+            Some(_) => self.notified_at == Micros::MIN || wait_limit != self.wait_limit,
         };
         if !is_due {
             return None;
         }
-        (self.allowed, self.notified_at, self.may_wait) = (Some(sendable), now, may_wait);
+        (self.allowed, self.notified_at, self.wait_limit) = (Some(sendable), now, wait_limit);
         Some(Allowance { shard: self.shard, retries: sendable, retry_after: self.retry_after })
     }
 }
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -88,7 +88,7 @@
 
     /// What a gateway does before the scheduler makes a decision.
     fn refresh(&mut self) {
-        if self.cap.is_behind(self.now) {
+        if self.cap.needs_tick(self.now) {
             self.handle_input(Input::Tick);
             self.notify();
         }
