--- a/crates/repeats/src/options.rs
+++ b/crates/repeats/src/options.rs
@@ -42,9 +42,9 @@
     /// The shards that the cap covers.
     pub shards: Vec<u32>,
     /// How long a node takes to warm up, microseconds: retry delays are spread over at least this time.
-    pub warming: Micros,
+    pub warm_up: Micros,
     /// The longest retry delay advised, microseconds.
-    pub most_advice: Micros,
+    pub max_retry_after: Micros,
 }
 
 /// Why options are invalid.
@@ -78,8 +78,8 @@
             fleet_share: 0.1,
             drift: 0.01,
             shards,
-            warming: 5_000_000,
-            most_advice: 30_000_000,
+            warm_up: 5_000_000,
+            max_retry_after: 30_000_000,
         }
     }
 
@@ -101,7 +101,7 @@
         range("fleet_free", self.fleet_free, 1e9)?;
         range("fleet_share", self.fleet_share, 10.0)?;
         range("drift", self.drift, 0.4)?;
-        for (what, value, least) in [("window", self.window, 6_400), ("warming", self.warming, 0)] {
+        for (what, value, least) in [("window", self.window, 6_400), ("warming", self.warm_up, 0)] {
             if value < least {
                 return Err(OptionsError::TooShort(what, value, least));
             }
@@ -125,7 +125,7 @@
             slice,
             step,
             window: lengthened(window) + slice / 2,
-            key_retention: lengthened(window + self.most_advice.max(0)),
+            key_retention: lengthened(window + self.max_retry_after.max(0)),
             earned_lifetime: shortened(window / 2),
             lease: window / 8,
             lease_held: lengthened(window / 8),
--- a/crates/repeats/src/shard.rs
+++ b/crates/repeats/src/shard.rs
@@ -97,7 +97,7 @@
             healthy_since: None,
             slices: VecDeque::from([SliceCounts::default()]),
             window: options.window,
-            health_period: 2 * options.warming + SINGLE_PEER_WINDOWS * options.window,
+            health_period: 2 * options.warm_up + SINGLE_PEER_WINDOWS * options.window,
             max_peers: options.members,
         }
     }
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -186,13 +186,13 @@
         let tokens = base_tokens + self.share(options) * f64::from(last.served);
         let mut span = options.window as f64 * f64::from(last.rejected) / tokens.max(0.1);
         if self.health.state().0 == ShardState::Recovering {
-            span = span.max(options.warming as f64);
+            span = span.max(options.warm_up as f64);
         }
         // All requests rejected in one slice at one gateway get the same delay, so they return within
         // one slice. Slices and gateways draw independently.
         let max_delay =
-            (span as Micros).clamp(4 * durations.slice, options.most_advice.max(4 * durations.slice));
-        self.retry_after = rng.random_range(durations.slice..=max_delay).min(options.most_advice);
+            (span as Micros).clamp(4 * durations.slice, options.max_retry_after.max(4 * durations.slice));
+        self.retry_after = rng.random_range(durations.slice..=max_delay).min(options.max_retry_after);
     }
 
     /// The allowance that the scheduler has to be notified of now, if any. Decreases are reported at
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -20,7 +20,7 @@
 }
 
 fn options(i: usize, members: usize) -> CapOptions {
-    CapOptions { warming: 2 * SECOND, ..CapOptions::new(name(i), members, vec![7, 8]) }
+    CapOptions { warm_up: 2 * SECOND, ..CapOptions::new(name(i), members, vec![7, 8]) }
 }
 
 /// Gateways whose messages take 2 ms, unless a gateway is partitioned.
@@ -209,7 +209,7 @@
     all.dedup();
     assert!(count > 100 && all.len() * 10 > count * 9, "{} of {count} differ", all.len());
     let most = all[all.len() - 1];
-    assert!(most > 5 * SECOND && most <= options(0, 8).most_advice, "{most}");
+    assert!(most > 5 * SECOND && most <= options(0, 8).max_retry_after, "{most}");
 }
 
 #[test]
@@ -313,9 +313,9 @@
         assert_eq!(at_all, known, "{fault:?}");
         // A client that returns after the longest retry delay is still recognized.
         let options = options(0, 3);
-        network.now += options.most_advice;
+        network.now += options.max_retry_after;
         assert_eq!((0..3).all(|i| network.caps[i].is_repeat(network.now, 99)), known, "{fault:?}");
-        network.now += 2 * options.most_advice;
+        network.now += 2 * options.max_retry_after;
         assert!((0..3).all(|i| !network.caps[i].is_repeat(network.now, 99)));
     }
 }
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -68,7 +68,7 @@
             wait: 300 * MILLI,
             refusal: 0.3,
             silent: if i < scenario.nodes { scenario.silent } else { None },
-            warming: scenario.warming,
+            warm_up: scenario.warm_up,
             busy_until: 0,
         });
         let nodes = nodes.collect();
--- a/crates/repeats/tests/rig/node.rs
+++ b/crates/repeats/tests/rig/node.rs
@@ -22,7 +22,7 @@
     /// The cost of a refusal, as a fraction of the cost of serving.
     pub refusal: f64,
     pub silent: Option<(Micros, Micros)>,
-    pub warming: Micros,
+    pub warm_up: Micros,
     pub busy_until: Micros,
 }
 
@@ -32,12 +32,12 @@
     }
 
     pub fn is_cold(&self, now: Micros) -> bool {
-        self.silent.is_some_and(|(_, to)| (to..to + self.warming).contains(&now))
+        self.silent.is_some_and(|(_, to)| (to..to + self.warm_up).contains(&now))
     }
 
     fn cost(&self, now: Micros) -> f64 {
         let warm = match self.silent {
-            Some((_, to)) if self.is_cold(now) => 0.4 + 0.6 * (now - to) as f64 / self.warming as f64,
+            Some((_, to)) if self.is_cold(now) => 0.4 + 0.6 * (now - to) as f64 / self.warm_up as f64,
             _ => 1.0,
         };
         1e6 / (self.capacity * warm)
--- a/crates/repeats/tests/rig/scenario.rs
+++ b/crates/repeats/tests/rig/scenario.rs
@@ -19,7 +19,7 @@
     pub load: f64,
     /// When all nodes of the first shard are silent.
     pub silent: Option<(Micros, Micros)>,
-    pub warming: Micros,
+    pub warm_up: Micros,
     pub partition: Option<(Micros, Micros)>,
     /// At this interval a gateway is killed, one after the other; each is back 0.2 s later.
     pub kills: Option<Micros>,
@@ -50,7 +50,7 @@
             capacity: 100.0,
             load: 0.8,
             silent: Some((5 * SECOND, 10 * SECOND)),
-            warming: 5 * SECOND,
+            warm_up: 5 * SECOND,
             partition: None,
             kills: None,
             lost: 0.0,
@@ -93,8 +93,8 @@
             free,
             fleet_free: free * f64::from(self.shards),
             drift: self.drift,
-            warming: self.warming,
-            most_advice: 10 * SECOND,
+            warm_up: self.warm_up,
+            max_retry_after: 10 * SECOND,
             ..CapOptions::new(name(gateway), self.gateways, (0..self.shards).collect())
         }
     }
@@ -123,7 +123,7 @@
             share: o.recovering_share,
             before: o.window / 2 + 5 * MILLI,
             shard: Some(0),
-            within: (from + SECOND, to + scenario.warming),
+            within: (from + SECOND, to + scenario.warm_up),
         }))
     }
 
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -137,7 +137,7 @@
             let target = (shard_account.account.available() / ONE_TOKEN) as u32;
             if shard_account.allowed != Some(target) {
                 shard_account.allowed = Some(target);
-                let retry_after = self.options.warming;
+                let retry_after = self.options.warm_up;
                 out.push(Output::Allow(Allowance { shard, retries: target, retry_after }));
             }
         }
--- a/crates/repeats/tests/scenarios.rs
+++ b/crates/repeats/tests/scenarios.rs
@@ -32,7 +32,7 @@
         (run.worst(&scenario), run.worst_recovering(&scenario).expect("a silent period"));
     println!("{:?}\n{worst:?}\n{recovering:?}", run.recovery_time(&scenario));
     assert!(
-        run.recovery_time(&scenario).is_some_and(|t| t <= scenario.warming * 3 / 2),
+        run.recovery_time(&scenario).is_some_and(|t| t <= scenario.warm_up * 3 / 2),
         "{:?}",
         run.recovery_time(&scenario)
     );
--- a/crates/settings/src/assemble/fleet.rs
+++ b/crates/settings/src/assemble/fleet.rs
@@ -87,8 +87,8 @@
         cap.fleet_free = table.fleet_free.unwrap_or(cap.free * over_shards);
         (cap.share, cap.recovering_share) = (table.share, table.recovering_share);
         (cap.fleet_share, cap.drift) = (table.fleet_share, table.drift);
-        cap.warming = micros(self.rules.warm_after_ms);
-        cap.most_advice = micros(self.rules.most_advice_ms).max(1);
+        cap.warm_up = micros(self.rules.warm_after_ms);
+        cap.max_retry_after = micros(self.rules.most_advice_ms).max(1);
         cap
     }
 
