--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -51,7 +51,7 @@
         now += durations.step;
         cap.handle(now, Input::Tick, &mut out);
     }
-    let left = cap.look(now).first().map_or(0.0, |look| look.left);
+    let left = cap.snapshot(now).first().map_or(0.0, |look| look.left);
     1.0 / left
 }
 
@@ -84,7 +84,7 @@
     );
     let even = format!(
         "A cap with `free` {}: what one shard bears beside its load (docs/fleet/cap.md: free / W + share x load < capacity - load), calculated \
-         for {} requests a second at a shard of {SHARD_NODES} nodes that are loaded to {LOAD}, an assumption. What `Cap::look` tells as left of a rested cap, and its \
+         for {} requests a second at a shard of {SHARD_NODES} nodes that are loaded to {LOAD}, an assumption. What `Cap::snapshot` tells as left of a rested cap, and its \
          inverse. Beyond 1 no gateway has a whole right by its even part; rights are kept in {} parts, whole ones are allowed.",
         free(),
         (f64::from(REQUESTS) * (GATEWAYS * SHARD_NODES) as f64 / NODES as f64).round(),
--- a/crates/console/src/fleet.rs
+++ b/crates/console/src/fleet.rs
@@ -47,7 +47,7 @@
 }
 
 fn cap(r: &RepeatsStatus) -> Vec<String> {
-    let look = |l: &repeats::ShardLook| {
+    let look = |l: &repeats::ShardSnapshot| {
         let shard = l.shard.map_or("all shards".into(), |s| format!("shard {s}"));
         let state = format!("{:?}", l.state).to_lowercase();
         let why = if l.state == ShardState::Normal || l.why.is_empty() {
--- a/crates/crowbay/tests/repeats.rs
+++ b/crates/crowbay/tests/repeats.rs
@@ -9,7 +9,7 @@
 use gateway::Status;
 use load::{Host, Word};
 use relay::{Side, What};
-use repeats::{ShardLook, ShardState};
+use repeats::{ShardSnapshot, ShardState};
 
 const GATEWAYS: [&str; 3] = ["g1", "g2", "g3"];
 
@@ -29,7 +29,7 @@
     stage
 }
 
-fn look(status: &Status, shard: u32) -> &ShardLook {
+fn look(status: &Status, shard: u32) -> &ShardSnapshot {
     let repeats = status.repeats.as_ref().expect("it holds the cap");
     repeats.shards.iter().find(|l| l.shard == Some(shard)).expect("the shard")
 }
--- a/crates/crowbay/tests/rights.rs
+++ b/crates/crowbay/tests/rights.rs
@@ -10,7 +10,7 @@
 use gateway::Status;
 use load::{Answer, Host, Word};
 use relay::{Side, What};
-use repeats::{Micros, ShardLook, ShardState};
+use repeats::{Micros, ShardSnapshot, ShardState};
 
 /// The second is named in the site and never there, so that nothing is lent.
 const GATEWAYS: [&str; 2] = ["g1", "g2"];
@@ -49,7 +49,7 @@
     stage
 }
 
-fn look(status: &Status) -> &ShardLook {
+fn look(status: &Status) -> &ShardSnapshot {
     let repeats = status.repeats.as_ref().expect("it holds the cap");
     repeats.shards.iter().find(|l| l.shard == Some(0)).expect("the shard")
 }
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -10,7 +10,7 @@
 use nvme::IoCommand;
 use peer::{PeerName, Told};
 use repeats::{
-    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState,
+    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardSnapshot, ShardState,
     host_request_key, request_key,
 };
 use storage_core::{AttemptId, Micros, Send, Shortage, Wanted};
@@ -68,8 +68,8 @@
         self.cap.next_due()
     }
 
-    pub(crate) fn snapshot(&self, now: Micros) -> (Vec<ShardLook>, Counts) {
-        (self.cap.look(now), self.cap.counts())
+    pub(crate) fn snapshot(&self, now: Micros) -> (Vec<ShardSnapshot>, Counts) {
+        (self.cap.snapshot(now), self.cap.counts())
     }
 
     /// Whether the allowance given to the module is out of date.
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet, the retry cap and the shadow trial as shown on the control socket.
 
-use repeats::ShardLook;
+use repeats::ShardSnapshot;
 use serde::{Deserialize, Serialize};
 use shadow::{Enough, Verdict};
 use storage_core::Micros;
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RepeatsStatus {
     /// Each shard; the last entry, without a number, is the total.
-    pub shards: Vec<ShardLook>,
+    pub shards: Vec<ShardSnapshot>,
     /// Totals of this life.
     pub counts: repeats::Counts,
 }
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -14,7 +14,7 @@
 use crate::shard::ShardState;
 use crate::shard_cap::{RequestBackoff, ShardCap};
 use crate::sketch::RepeatSketch;
-use crate::snapshot::{Counts, ShardLook};
+use crate::snapshot::{Counts, ShardSnapshot};
 
 /// An event that the cap is notified of.
 #[derive(Clone, Debug, PartialEq)]
@@ -340,12 +340,12 @@
     }
 
     /// A snapshot of each shard, followed by one of all shards together.
-    pub fn look(&self, now: Micros) -> Vec<ShardLook> {
+    pub fn snapshot(&self, now: Micros) -> Vec<ShardSnapshot> {
         let whole_tokens = |amount: u64| amount as f64 / ONE_TOKEN as f64;
-        let snapshot = |account: &Account, shard| {
+        let account_snapshot = |account: &Account, shard| {
             let (mut account, totals) = (account.clone(), account.totals());
             account.settle(now);
-            ShardLook {
+            ShardSnapshot {
                 shard,
                 state: ShardState::Normal,
                 since: 0,
@@ -362,22 +362,22 @@
                 waiting: 0,
             }
         };
-        let mut fleet = snapshot(&self.fleet, None);
+        let mut fleet = account_snapshot(&self.fleet, None);
         let mut snapshots = Vec::with_capacity(self.shard_caps.len() + 1);
         for shard_cap in self.shard_caps.values() {
             let (state, since, why) = shard_cap.health.state();
             let (allowed, held_back) = (shard_cap.allowed.unwrap_or(0), shard_cap.held_back);
-            let one = ShardLook {
+            let one = ShardSnapshot {
                 state,
                 since: now - since,
                 why: why.into(),
                 allowed,
                 held_back,
-                ..snapshot(&shard_cap.account, Some(shard_cap.shard))
+                ..account_snapshot(&shard_cap.account, Some(shard_cap.shard))
             };
             let (retry_after, not_told, waiting) =
                 (shard_cap.retry_after, shard_cap.not_told, shard_cap.waiting);
-            let one = ShardLook { retry_after, not_told, waiting, ..one };
+            let one = ShardSnapshot { retry_after, not_told, waiting, ..one };
             if matches!(state, ShardState::Recovering) || fleet.why.is_empty() {
                 (fleet.state, fleet.since, fleet.why) = (state, one.since, one.why.clone());
             }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -48,7 +48,7 @@
     RESERVED_PART, TokenSource,
 };
 pub use shard::ShardState;
-pub use snapshot::{Counts, ShardLook};
+pub use snapshot::{Counts, ShardSnapshot};
 
 /// Microseconds on the caller's clock, which never goes backwards.
 pub type Micros = i64;
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -8,7 +8,7 @@
 /// A snapshot of one shard at this gateway. Token counts are in whole tokens with fractions; totals are
 /// of this life.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardLook {
+pub struct ShardSnapshot {
     /// The shard; none for all shards of the fleet together.
     pub shard: Option<u32>,
     /// Its state; for all shards together the most severe.
--- a/crates/repeats/tests/telling.rs
+++ b/crates/repeats/tests/telling.rs
@@ -89,7 +89,7 @@
 
     /// Whole tokens of a shard's account, or of the fleet account.
     fn left(&self, shard: Option<u32>) -> u64 {
-        let looks = self.cap.look(self.now);
+        let looks = self.cap.snapshot(self.now);
         looks.iter().find(|look| look.shard == shard).expect("an account").left as u64
     }
 
