--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! Client commands: accepting, refusing, aborting and answering them.
 
 use nvme::{Completion, IoCommand, Status as NvmeStatus, StatusCode};
-use repeats::key_of_host;
+use repeats::host_request_key;
 use storage_core::{Answer, ClientId, Micros, Operation, OperationId};
 
 use super::{AcceptedCommand, Client, Engine};
@@ -67,7 +67,7 @@
         self.accepted
             .insert(operation_id, AcceptedCommand { connection: id, cid, bytes, expected, identity });
         let retry = identity.is_some_and(|identity| identity.is_retry);
-        let client = (!host.is_empty()).then(|| ClientId(key_of_host(&host, 0)));
+        let client = (!host.is_empty()).then(|| ClientId(host_request_key(&host, 0)));
         let operation =
             Operation { id: operation_id, opcode, nsid, slba, blocks, data, token, retry, client };
         self.core.submit(now, operation, &mut self.effects);
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -12,9 +12,9 @@
 const REJECTIONS_PER_DELAY: u64 = 64;
 
 impl Cap {
-    pub(crate) fn record_sent(&mut self, now: Micros, shard: u32, further: bool) {
+    pub(crate) fn record_sent(&mut self, now: Micros, shard: u32, is_retry: bool) {
         let Some(shard_cap) = self.shard_caps.get_mut(&shard) else { return };
-        if !further {
+        if !is_retry {
             return;
         }
         shard_cap.health.current_slice().retries += 1;
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) fn record_rejected(&mut self, now: Micros, shard: u32, worth: f64, left: Micros) {
+    pub(crate) fn record_rejected(&mut self, now: Micros, shard: u32, worth: f64, remaining: Micros) {
         let Some(shard_cap) = self.shard_caps.get_mut(&shard) else { return };
         shard_cap.held_back += 1;
         if shard_cap.held_back.is_multiple_of(REJECTIONS_PER_DELAY) {
@@ -54,7 +54,7 @@
         }
         // A request without the time left for a lease to arrive is rejected in any case, so it adds no
         // demand.
-        if left < self.durations.step {
+        if remaining < self.durations.step {
             return;
         }
         shard_cap.health.current_slice().rejected += 1;
@@ -112,7 +112,7 @@
                 } else if shard_cap.waiting == 0 {
                     shard_cap.highest_worth = 0.0;
                     // A retry delay drawn during trouble that is over does not apply to the next.
-                    if !shard_cap.has_reduced_limits() && shard_cap.come_back > 4 * self.durations.slice {
+                    if !shard_cap.has_reduced_limits() && shard_cap.retry_after > 4 * self.durations.slice {
                         shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
                     }
                 }
@@ -138,9 +138,9 @@
             if after < before && before > 0.0 {
                 shard_cap.account.scale_held(after / before);
             }
-            let (state, _, why) = shard_cap.health.state();
+            let (state, _, reason) = shard_cap.health.state();
             shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
-            out.push(Output::Entered { shard: shard_cap.shard, state, why });
+            out.push(Output::StateChanged { shard: shard_cap.shard, state, reason });
         }
         if changed {
             self.update_base_tokens();
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -8,7 +8,7 @@
 /// A snapshot of one shard at this gateway. Token counts are in whole tokens with fractions; totals are
 /// of this life.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardLook {
+pub struct ShardSnapshot {
     /// The shard; none for all shards of the fleet together.
     pub shard: Option<u32>,
     /// Its state; for all shards together the most severe.
@@ -22,7 +22,8 @@
     /// Retries that the scheduler may send now.
     pub allowed: u32,
     /// The retry delay advised to rejected requests, microseconds.
-    pub come_back: Micros,
+    #[serde(rename = "come_back")]
+    pub retry_after: Micros,
     /// Tokens leased to peers.
     pub lent: f64,
     /// Tokens borrowed from peers.
