--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use bytes::Bytes;
-use decisions::{Idempotency, Micros, NodeId, Outcome, Request, RequestId, ShardId, Shortage, VolumeId};
+use decisions::{Idempotency, Micros, NodeId, Outcome, Request, RequestId, ShardId, TokenShortage, VolumeId};
 use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
@@ -297,7 +297,7 @@
     }
 
     /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
-    pub fn take_shortages(&mut self) -> Vec<Shortage> {
+    pub fn take_shortages(&mut self) -> Vec<TokenShortage> {
         self.dispatcher.take_shortages()
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,5 +25,5 @@
 pub use crate::operation::{Answer, Opcode, Operation, OperationId};
 pub use crate::retry_demand::RetryDemand;
 pub use crate::views::{OpenOperationView, OperationCounts, UnservedView, VolumeView};
-pub use decisions::{ClientId, Shortage};
-pub use dispatch::{AttemptId, ListedNode, Micros, NodeLook, NodeState, NodeView, Outcome};
+pub use decisions::{ClientId, TokenShortage};
+pub use dispatch::{AttemptId, ListedNode, Micros, NodeSnapshot, NodeState, NodeView, Outcome};
--- a/crates/core/src/views.rs
+++ b/crates/core/src/views.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use decisions::{Cause, Micros, NodeId, NodeLook, Outcome, RequestId};
+use decisions::{Micros, NodeId, NodeSnapshot, Outcome, RequestId, UnservedCause};
 use dispatch::NodeView;
 
 use crate::core::{Core, OpenOperation};
@@ -110,7 +110,7 @@
 
 impl Core {
     /// Returns the scheduler's view of a node.
-    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeSnapshot> {
         self.dispatcher.node_snapshot(node)
     }
 
@@ -121,7 +121,7 @@
 
     /// Returns the number of requests that ended unserved, by class and by the cause that the scheduler
     /// determined.
-    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, UnservedCause), u64> {
         self.dispatcher.unserved_by_cause()
     }
 
--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -108,7 +108,7 @@
         self.record_outcome(node_id, (id, answer.attempt), answer.outcome, answer.latency, true);
         // An attempt that was not sent although it was still valid found no connection, nor would another.
         let no_connection =
-            answer.outcome == Outcome::NotSent && self.stands(now, id, answer.attempt, node_id);
+            answer.outcome == Outcome::NotSent && self.attempt_is_valid(now, id, answer.attempt, node_id);
         if !self.record_attempt_end(&answer) {
             return;
         }
--- a/crates/decisions/src/causes.rs
+++ b/crates/decisions/src/causes.rs
@@ -7,37 +7,37 @@
 
 /// Why a request ended unserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Cause {
+pub enum UnservedCause {
     /// Its shard had no retry token left for a retry.
-    NoRight,
+    NoRetryToken,
     /// It is a retry of a request whose latency target is over, and no node had spare capacity.
-    NoSpareRoom,
+    NoSpareCapacity,
     /// No node that accepts work holds its data.
     NoNode,
     /// It waited behind another request for its key.
-    BehindItsKey,
+    BlockedByKeyOrder,
     /// Nothing of it had been written to a node when it had to be answered.
     NotSentInTime,
     /// Its client's time was over while attempts were in flight, or after them.
-    TimeUp,
+    TimedOut,
     /// It would have been late, or beyond its volume's limit, at every node.
-    NoUse,
+    LateOrOverLimit,
     /// No retry could be made.
-    NoFurtherAttempt,
+    NoRetryPossible,
 }
 
 // Status reports contain these texts.
-impl fmt::Display for Cause {
+impl fmt::Display for UnservedCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Cause::NoRight => "no right to repeat",
-            Cause::NoSpareRoom => "repeat after its aim, no room to spare",
-            Cause::NoNode => "no node takes work",
-            Cause::BehindItsKey => "behind another of its key",
-            Cause::NotSentInTime => "due with nothing sent",
-            Cause::TimeUp => "no answer in time",
-            Cause::NoUse => "late or over a limit wherever it went",
-            Cause::NoFurtherAttempt => "no further attempt",
+            UnservedCause::NoRetryToken => "no right to repeat",
+            UnservedCause::NoSpareCapacity => "repeat after its aim, no room to spare",
+            UnservedCause::NoNode => "no node takes work",
+            UnservedCause::BlockedByKeyOrder => "behind another of its key",
+            UnservedCause::NotSentInTime => "due with nothing sent",
+            UnservedCause::TimedOut => "no answer in time",
+            UnservedCause::LateOrOverLimit => "late or over a limit wherever it went",
+            UnservedCause::NoRetryPossible => "no further attempt",
         })
     }
 }
@@ -50,27 +50,31 @@
         *self.unserved_counts.entry((open.request.class, cause)).or_default() += 1;
     }
 
-    fn cause(&self, open: &OpenRequest) -> Cause {
+    fn cause(&self, open: &OpenRequest) -> UnservedCause {
         let shard_id = open.queued.map(|(shard, _)| shard).or(open.request.shard);
         let lacks_token =
             || shard_id.is_some_and(|s| self.retry_tokens.get(&s).is_some_and(|tokens| tokens.left == 0));
         if self.awaited_tokens(open).is_some()
             || self.now < open.send_by && open.needs_retry_token() && lacks_token()
         {
-            return Cause::NoRight;
+            return UnservedCause::NoRetryToken;
         }
         if open.queued.is_none() && open.late_retry.is_some() && open.attempts.is_empty() {
-            return Cause::NoSpareRoom;
+            return UnservedCause::NoSpareCapacity;
         }
         if !open.is_unwritten() {
-            return if self.now >= open.due { Cause::TimeUp } else { Cause::NoFurtherAttempt };
+            return if self.now >= open.due {
+                UnservedCause::TimedOut
+            } else {
+                UnservedCause::NoRetryPossible
+            };
         }
         let nodes = shard_id.and_then(|s| self.shards.get(&s)).map_or(0, |s| s.nodes.len());
         match open.queued {
-            _ if nodes == 0 => Cause::NoNode,
-            None if open.attempts.is_empty() => Cause::BehindItsKey,
-            _ if self.now >= open.send_by => Cause::NotSentInTime,
-            _ => Cause::NoUse,
+            _ if nodes == 0 => UnservedCause::NoNode,
+            None if open.attempts.is_empty() => UnservedCause::BlockedByKeyOrder,
+            _ if self.now >= open.send_by => UnservedCause::NotSentInTime,
+            _ => UnservedCause::LateOrOverLimit,
         }
     }
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -199,7 +199,7 @@
 
 /// A snapshot of what the module knows about a node, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NodeLook {
+pub struct NodeSnapshot {
     /// The law's bound on attempts in flight, for requests within the reserve.
     pub bound: f64,
     /// The law's L: smoothed latency over latency target.
@@ -216,7 +216,7 @@
 
 /// Requests that wait for a retry token of a shard, reported to whoever allots the tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shortage {
+pub struct TokenShortage {
     /// The shard.
     pub shard: ShardId,
     /// Number of waiting requests.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -61,18 +61,18 @@
 
 use std::collections::BTreeMap;
 
-pub use causes::Cause;
+pub use causes::UnservedCause;
 pub use interface::*;
 pub use scheduler::Scheduler;
 pub use settings::*;
 
 impl Scheduler {
     /// A snapshot of what the scheduler knows about a node, for operators; no decision depends on it.
-    pub fn look(&self, id: NodeId) -> Option<NodeLook> {
+    pub fn node_snapshot(&self, id: NodeId) -> Option<NodeSnapshot> {
         let (now, view) = (self.state.now, self.fleet_view());
         let node = self.state.nodes.get(&id)?;
         let shard = self.state.shards.get(&node.shard);
-        Some(NodeLook {
+        Some(NodeSnapshot {
             bound: node.bound(law::RESERVE, &view),
             load: node.load(&view),
             held: node.occupied() as usize,
@@ -84,17 +84,17 @@
 
     /// Counters of work since the start: shards examined for something to send, and node list entries
     /// applied.
-    pub fn work(&self) -> (u64, u64) {
+    pub fn work_counters(&self) -> (u64, u64) {
         (self.state.shards_examined, self.state.entries_applied)
     }
 
     /// How many requests ended unserved since the start, by class and cause.
-    pub fn unserved(&self) -> &BTreeMap<(usize, Cause), u64> {
+    pub fn unserved_counts(&self) -> &BTreeMap<(usize, UnservedCause), u64> {
         &self.state.unserved_counts
     }
 
     /// The shards whose requests waiting for a retry token changed since the last call, as they are now.
-    pub fn take_shortages(&mut self) -> Vec<Shortage> {
+    pub fn take_token_shortages(&mut self) -> Vec<TokenShortage> {
         let shards = std::mem::take(&mut self.state.changed_shortages);
         let shortage = |shard| {
             let waiting = self.state.shards.get(&shard).map_or(0, |s| s.awaiting_token.len() as u32);
@@ -102,7 +102,7 @@
             let first = first.and_then(|entry| self.state.requests.get(&entry.id)).map(|open| &open.request);
             let worth = first
                 .map_or(0.0, |r| self.settings.classes[r.class].worth * self.settings.plans[r.plan].price);
-            Shortage { shard, waiting, worth }
+            TokenShortage { shard, waiting, worth }
         };
         shards.into_iter().map(shortage).collect()
     }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::causes::Cause;
+use crate::causes::UnservedCause;
 use crate::interface::*;
 pub(crate) use crate::nodes::*;
 pub(crate) use crate::requests::*;
@@ -76,7 +76,7 @@
     /// How many requests may wait for a retry token, by shard.
     pub(crate) token_wait_limits: BTreeMap<ShardId, u32>,
     /// Requests that ended unserved since the start, by class and cause.
-    pub(crate) unserved_counts: BTreeMap<(usize, Cause), u64>,
+    pub(crate) unserved_counts: BTreeMap<(usize, UnservedCause), u64>,
     pub(crate) wakes: BTreeSet<(Micros, Wake)>,
     /// When the armed host timer is due.
     pub(crate) timer_at: Option<Micros>,
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -55,7 +55,7 @@
     /// An attempt that awaits its connection begins late: by then its node may drain or be another process,
     /// its client's time may be over, or the nodes may have forgotten its key. The cost: the request waits
     /// again.
-    pub fn stands(&self, now: Micros, id: RequestId, attempt: u32, node: NodeId) -> bool {
+    pub fn attempt_is_valid(&self, now: Micros, id: RequestId, attempt: u32, node: NodeId) -> bool {
         let (Some(open), Some(node)) = (self.state.requests.get(&id), self.state.nodes.get(&node)) else {
             return false;
         };
--- a/crates/decisions/tests/allowance.rs
+++ b/crates/decisions/tests/allowance.rs
@@ -273,7 +273,7 @@
                 host.handle(Event::TokenWaitLimit { shard: ShardId(shard), max_waiting: rng.below(8) as u32 });
                 allowances.push((host.log.len(), ShardId(shard), tokens));
                 host.set_retry_tokens(shard, tokens, rng.below(2_000_000) as Micros);
-                waited += host.scheduler.take_shortages().iter().map(|s| s.waiting).sum::<u32>();
+                waited += host.scheduler.take_token_shortages().iter().map(|s| s.waiting).sum::<u32>();
             }
         });
         let wrong = attempts_without_token(&host, &allowances);
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -31,7 +31,7 @@
 }
 
 fn waiting(host: &mut Host) -> Vec<(ShardId, u32)> {
-    host.scheduler.take_shortages().into_iter().map(|s| (s.shard, s.waiting)).collect()
+    host.scheduler.take_token_shortages().into_iter().map(|s| (s.shard, s.waiting)).collect()
 }
 
 /// Guards against refusals just before there are tokens.
@@ -96,7 +96,7 @@
         (1001..=1008).for_each(|id| _ = host.submit(same_key(request(id))));
         host.advance(1000);
         host.answer(1001, 0, Outcome::Served);
-        assert_eq!(host.scheduler.take_shortages().len(), usize::from(retries > 0));
+        assert_eq!(host.scheduler.take_token_shortages().len(), usize::from(retries > 0));
         host.sent()
     };
     assert_eq!(sent(200), sent(0));
@@ -152,8 +152,8 @@
     host.submit(Request { class: 1, ..retry(3) });
     host.submit(Request { class: 1, ..retry(4) });
     assert_eq!(host.refused(2), Some(ADVICE), "it was last in order");
-    let shortage = host.scheduler.take_shortages();
-    assert_eq!(shortage, [Shortage { shard: ShardId(0), waiting: 3, worth: 8.0 }]);
+    let shortage = host.scheduler.take_token_shortages();
+    assert_eq!(shortage, [TokenShortage { shard: ShardId(0), waiting: 3, worth: 8.0 }]);
     host.set_retry_tokens(0, 2, ADVICE);
     assert_eq!(host.sent(), [3, 4]);
 }
--- a/crates/decisions/tests/list_change.rs
+++ b/crates/decisions/tests/list_change.rs
@@ -20,9 +20,9 @@
     complete: bool,
     entries: Vec<NodeEntry>,
 ) -> (u64, u64) {
-    let before = scheduler.work();
+    let before = scheduler.work_counters();
     scheduler.handle(now, Event::Nodes { complete, from_cache: false, entries }, &mut Vec::new());
-    let after = scheduler.work();
+    let after = scheduler.work_counters();
     (after.0 - before.0, after.1 - before.1)
 }
 
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -72,7 +72,7 @@
     }
 
     fn is_valid(&self, attempt: u32) -> bool {
-        self.scheduler.stands(self.now, RequestId(1), attempt, NodeId(0))
+        self.scheduler.attempt_is_valid(self.now, RequestId(1), attempt, NodeId(0))
     }
 }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use decisions::{
-    Action, Answer, Event, Micros, NodeEntry, NodeId, NodeLook, NodeState, Outcome, Request, RequestId,
+    Action, Answer, Event, Micros, NodeEntry, NodeId, NodeSnapshot, NodeState, Outcome, Request, RequestId,
     Scheduler, Settings, ShardId,
 };
 
@@ -239,7 +239,7 @@
     pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
         let scheduler = &self.scheduler;
         let is_removable = |id: &NodeId, view: &NodeView| {
-            view.state == NodeState::Gone && view.in_flight == 0 && scheduler.look(*id).is_none()
+            view.state == NodeState::Gone && view.in_flight == 0 && scheduler.node_snapshot(*id).is_none()
         };
         let gone: Vec<NodeId> =
             self.nodes.iter().filter(|(id, view)| is_removable(id, view)).map(|(id, _)| *id).collect();
@@ -360,8 +360,8 @@
     }
 
     /// Returns the scheduler's view of a node.
-    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeLook> {
-        self.scheduler.look(node)
+    pub fn node_snapshot(&self, node: NodeId) -> Option<NodeSnapshot> {
+        self.scheduler.node_snapshot(node)
     }
 
     /// Returns the number of open requests: those without a final answer.
--- a/crates/dispatch/src/dispatcher/connection_wait.rs
+++ b/crates/dispatch/src/dispatcher/connection_wait.rs
@@ -26,7 +26,8 @@
     /// passed and the scheduler still considers the attempt valid.
     pub fn is_still_valid(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_valid = |in_flight: &InFlight| {
-            now < in_flight.due && self.scheduler.stands(now, attempt.request, attempt.n, in_flight.node)
+            now < in_flight.due
+                && self.scheduler.attempt_is_valid(now, attempt.request, attempt.n, in_flight.node)
         };
         self.requests.contains_key(&attempt.request) && self.in_flight.get(&attempt).is_some_and(is_valid)
     }
--- a/crates/dispatch/src/dispatcher/retry_tokens.rs
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use decisions::{Cause, Event, Micros, ShardId, Shortage};
+use decisions::{Event, Micros, ShardId, TokenShortage, UnservedCause};
 
 use super::Dispatcher;
 
@@ -23,12 +23,12 @@
     }
 
     /// Returns the shards whose set of requests waiting for a retry token has changed since the last call.
-    pub fn take_shortages(&mut self) -> Vec<Shortage> {
-        self.scheduler.take_shortages()
+    pub fn take_shortages(&mut self) -> Vec<TokenShortage> {
+        self.scheduler.take_token_shortages()
     }
 
     /// Returns the number of requests that ended unserved since the start, by class and cause.
-    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
-        self.scheduler.unserved()
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, UnservedCause), u64> {
+        self.scheduler.unserved_counts()
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -15,6 +15,6 @@
 mod node;
 
 pub use attempt::{AttemptId, Command, Verdict};
-pub use decisions::{Micros, NodeId, NodeLook, NodeState, Outcome, RequestId};
+pub use decisions::{Micros, NodeId, NodeSnapshot, NodeState, Outcome, RequestId};
 pub use dispatcher::{Dispatcher, RequestCounts};
 pub use node::{ListedNode, NodeView};
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use decisions::Cause;
+use decisions::UnservedCause;
 use storage_core::{Micros, OpenOperationView, UnservedView};
 
 use super::Engine;
@@ -41,7 +41,7 @@
     /// Counts of requests that ended unserved, by class and cause.
     fn unserved_causes(&self) -> BTreeMap<String, u64> {
         let rules = &self.options.catalogue.rules;
-        let label = |(class, cause): &(usize, Cause)| format!("{}: {cause}", rules[*class].name);
+        let label = |(class, cause): &(usize, UnservedCause)| format!("{}: {cause}", rules[*class].name);
         self.core.unserved_by_cause().iter().map(|(key, count)| (label(key), *count)).collect()
     }
 
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -13,7 +13,7 @@
     Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardSnapshot, ShardState,
     host_request_key, request_key,
 };
-use storage_core::{AttemptId, Micros, OutgoingAttempt, RetryDemand, Shortage};
+use storage_core::{AttemptId, Micros, OutgoingAttempt, RetryDemand, TokenShortage};
 
 use crate::peer_network::PeerNetwork;
 
@@ -157,8 +157,8 @@
     }
 
     /// The number of parts waiting for a shard's retry tokens changed.
-    pub(crate) fn waiting_changed(&mut self, now: Micros, shortage: Shortage) {
-        let Shortage { shard, waiting, worth } = shortage;
+    pub(crate) fn waiting_changed(&mut self, now: Micros, shortage: TokenShortage) {
+        let TokenShortage { shard, waiting, worth } = shortage;
         self.handle(now, Input::RetriesWaiting { shard: shard.0, waiting, worth });
     }
 
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -160,7 +160,7 @@
         for _ in 0..std::mem::take(&mut self.wanted) {
             self.cap_input(Input::RetryRejected { shard: SHARD, worth: 1.0, remaining: SECOND });
         }
-        for Shortage { shard, waiting, worth } in self.module.take_shortages() {
+        for TokenShortage { shard, waiting, worth } in self.module.take_token_shortages() {
             self.waiting = waiting as usize;
             self.max_waiting = self.max_waiting.max(self.waiting);
             self.cap_input(Input::RetriesWaiting { shard: shard.0, waiting, worth });
