--- a/crates/capacity/src/processes/client.rs
+++ b/crates/capacity/src/processes/client.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use http1::{Answer, AnswerDecoder};
+use http1::{Response, ResponseDecoder};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 
@@ -35,7 +35,7 @@
 
 struct Client {
     stream: TcpStream,
-    decoder: AnswerDecoder,
+    decoder: ResponseDecoder,
     /// What is to be written still.
     owed: Vec<u8>,
     /// Its request has no answer yet.
@@ -52,7 +52,7 @@
             let mut stream = TcpStream::connect(address).map_err(failed())?;
             let interest = Interest::READABLE | Interest::WRITABLE;
             poll.registry().register(&mut stream, Token(n), interest).map_err(failed())?;
-            let decoder = AnswerDecoder::new(LIMITS);
+            let decoder = ResponseDecoder::new(LIMITS);
             clients.push(Client { stream, decoder, owed: Vec::new(), asks: false });
         }
         Ok(Crowd { poll, events: Events::with_capacity(1024), clients, asked: 0 })
@@ -120,7 +120,7 @@
 }
 
 impl Tally {
-    fn count(&mut self, answer: &Answer) -> Result<(), MeasureError> {
+    fn count(&mut self, answer: &Response) -> Result<(), MeasureError> {
         self.last = Instant::now();
         if self.served + self.refused == 0 {
             self.first = self.last;
@@ -150,7 +150,7 @@
     }
 
     /// Writes and reads what it can without waiting; the answer, once it is whole.
-    fn step(&mut self) -> io::Result<Option<Answer>> {
+    fn step(&mut self) -> io::Result<Option<Response>> {
         while !self.owed.is_empty() {
             match self.stream.write(&self.owed) {
                 Ok(n) => drop(self.owed.drain(..n)),
--- a/crates/capacity/src/processes/node.rs
+++ b/crates/capacity/src/processes/node.rs
@@ -128,7 +128,7 @@
             }
             while let Some(came) = self.decoder.poll().map_err(io::Error::other)? {
                 if let Incoming::Whole(_) = came {
-                    self.stream.write_all(&http1::answer(200, &[], WORD, true))?;
+                    self.stream.write_all(&http1::encode_response(200, &[], WORD, true))?;
                 }
             }
         }
--- a/crates/crowbay/tests/closings.rs
+++ b/crates/crowbay/tests/closings.rs
@@ -33,7 +33,7 @@
     let address = puppet.address;
     let seen = puppet.play(|mut asked| {
         if asked.id.starts_with("large") {
-            asked.say(&http1::answer(200, &[], &vec![b'y'; LARGE], true));
+            asked.say(&http1::encode_response(200, &[], &vec![b'y'; LARGE], true));
             asked.next();
         } else {
             asked.serve();
--- a/crates/crowbay/tests/customers.rs
+++ b/crates/crowbay/tests/customers.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use http1::Answer;
+use http1::Response;
 use serde_json::{Value, json};
 use stage::customer::{Act, Nodes, Seen, copies, customer, names, orders, single, vault, words};
 use stage::discovery::Discovery;
@@ -47,7 +47,7 @@
     }
 
     /// Asks once, on a connection of its own.
-    fn ask(&self, class: &str, id: &str, timeout_ms: u64) -> Answer {
+    fn ask(&self, class: &str, id: &str, timeout_ms: u64) -> Response {
         self.client().ask(&self.words(class, id, timeout_ms)).expect("an answer").expect("an answer")
     }
 
--- a/crates/crowbay/tests/departures.rs
+++ b/crates/crowbay/tests/departures.rs
@@ -207,11 +207,11 @@
     let spoilt: [fn(Asked); 3] = [
         Asked::reset,
         |mut asked| {
-            asked.say(&http1::answer(500, &[], b"", true));
+            asked.say(&http1::encode_response(500, &[], b"", true));
             asked.next();
         },
         |mut asked| {
-            asked.say(&http1::answer(503, &[("X-Not-Processed", "1")], b"", true));
+            asked.say(&http1::encode_response(503, &[("X-Not-Processed", "1")], b"", true));
             asked.next();
         },
     ];
--- a/crates/crowbay/tests/endings.rs
+++ b/crates/crowbay/tests/endings.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use http1::Answer;
+use http1::Response;
 use stage::asked::Asked;
 use stage::departure::{sent, settle};
 use stage::figure::pass;
@@ -121,14 +121,14 @@
     Process::start(&request::site(nobody, &list(1, &[("a", node)]), true))
 }
 
-fn ask(gateway: SocketAddr, class: &str, id: &str, body: &str) -> Answer {
+fn ask(gateway: SocketAddr, class: &str, id: &str, body: &str) -> Response {
     let mut client = Client::new(gateway).expect("a connection");
     client.ask(&request::text(class, id, 8000, "", body)).expect("an answer").expect("an answer")
 }
 
 /// One request of a class against a node that plays a script for the first `spoils` requests and then answers well. The answer,
 /// and how often the node was asked.
-fn play(class: &str, script: Script, spoils: usize) -> (Answer, usize) {
+fn play(class: &str, script: Script, spoils: usize) -> (Response, usize) {
     let puppet = Puppet::start();
     let process = gateway(puppet.address);
     let count = AtomicUsize::new(0);
@@ -270,7 +270,7 @@
     let address = process.address;
     let before = thread::spawn(move || ask(address, ONCE, "first", ""));
     let mut asked = puppet.next();
-    asked.say(&http1::answer(200, &[], b"first", true));
+    asked.say(&http1::encode_response(200, &[], b"first", true));
     assert_eq!(before.join().expect("no panic").status, 200);
     if rests {
         // It has cooled: no further answer may come late.
--- a/crates/crowbay/tests/floods.rs
+++ b/crates/crowbay/tests/floods.rs
@@ -43,7 +43,7 @@
         let process = Starting::new(&site, &["sh", "-c", &limit]).up();
         let _seen = puppet.play(|mut asked| {
             if asked.id.starts_with("large") {
-                asked.say(&http1::answer(200, &[], &vec![b'y'; 64 << 10], true));
+                asked.say(&http1::encode_response(200, &[], &vec![b'y'; 64 << 10], true));
                 asked.next();
             } else {
                 asked.serve();
--- a/crates/crowbay/tests/restarting.rs
+++ b/crates/crowbay/tests/restarting.rs
@@ -201,7 +201,7 @@
     let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
     let silent = serve(|mut stream| while stream.read(&mut [0; 64]).is_ok_and(|n| n > 0) {});
     let broken = serve(|mut stream| {
-        let _ = stream.write_all(&http1::answer(500, &[], b"", false));
+        let _ = stream.write_all(&http1::encode_response(500, &[], b"", false));
     });
     for discovery in [nobody(), deaf.local_addr().expect("its address"), silent, broken] {
         let begun = Instant::now();
--- a/crates/crowbay/tests/slow_readers.rs
+++ b/crates/crowbay/tests/slow_readers.rs
@@ -39,7 +39,7 @@
                 let mut state = nodes.state.lock().expect("their state");
                 state.0 += 1;
                 drop(nodes.changed.wait_while(state, |(_, answer)| !*answer).expect("their state"));
-                let answer = http1::answer(200, &[], &vec![b'x'; ANSWER], true);
+                let answer = http1::encode_response(200, &[], &vec![b'x'; ANSWER], true);
                 if stream.write_all(&answer).is_err() {
                     return;
                 }
--- a/crates/crowbay/tests/stage/asked.rs
+++ b/crates/crowbay/tests/stage/asked.rs
@@ -46,7 +46,7 @@
     /// Answers as a good node does, and reads on.
     pub fn serve(mut self) {
         let id = self.id.clone();
-        self.say(&http1::answer(200, &[], id.as_bytes(), true));
+        self.say(&http1::encode_response(200, &[], id.as_bytes(), true));
         self.next();
     }
 
--- a/crates/crowbay/tests/stage/customer.rs
+++ b/crates/crowbay/tests/stage/customer.rs
@@ -104,7 +104,7 @@
                 // Closed over unread bytes: the system resets it.
                 return;
             }
-            let answer = http1::answer(200, &[], seen.id.as_bytes(), true);
+            let answer = http1::encode_response(200, &[], seen.id.as_bytes(), true);
             let taken = std::io::Read::read_exact(&mut stream, &mut vec![0; bytes]);
             if taken.and_then(|()| std::io::Write::write_all(&mut stream, &answer)).is_err() {
                 return;
--- a/crates/crowbay/tests/stage/mod.rs
+++ b/crates/crowbay/tests/stage/mod.rs
@@ -30,7 +30,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use http1::{Answer, AnswerDecoder, Incoming, Limits, Request, RequestDecoder};
+use http1::{Incoming, Limits, Request, RequestDecoder, Response, ResponseDecoder};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -91,7 +91,7 @@
                 node.seen.lock().expect("seen").push(id.clone());
                 let held = node.held.lock().expect("held");
                 drop(node.free.wait_while(held, |held| *held).expect("held"));
-                if stream.write_all(&http1::answer(200, &[], id.as_bytes(), true)).is_err() {
+                if stream.write_all(&http1::encode_response(200, &[], id.as_bytes(), true)).is_err() {
                     return;
                 }
             }
@@ -196,18 +196,18 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    pub decoder: AnswerDecoder,
+    pub decoder: ResponseDecoder,
 }
 
 impl Client {
     pub fn new(address: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(LONG))?;
-        Ok(Client { stream, decoder: AnswerDecoder::new(LIMITS) })
+        Ok(Client { stream, decoder: ResponseDecoder::new(LIMITS) })
     }
 
     /// Asks and waits for the answer; none if the connection ends without one.
-    pub fn ask(&mut self, text: &str) -> std::io::Result<Option<Answer>> {
+    pub fn ask(&mut self, text: &str) -> std::io::Result<Option<Response>> {
         self.stream.write_all(text.as_bytes())?;
         let mut buffer = [0; 8192];
         loop {
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -4,7 +4,7 @@
 
 use crate::Limits;
 use crate::chunked::Chunked;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::fields::Fields;
 
 /// How a body is framed.
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 
-use crate::fault::Fault;
+use crate::error::Fault;
 
 /// Maximum length of a chunk's size line, including extensions, in bytes.
 const MAX_LINE_BYTES: usize = 256;
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/encode.rs
@@ -5,14 +5,14 @@
 use bytes::{Bytes, BytesMut};
 
 /// Encodes a response with its content length. `fields` are names and values of further header fields.
-pub fn answer(status: u16, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
+pub fn encode_response(status: u16, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160 + body.len());
     write_status_and_length(&mut out, status, body.len());
     finish(out, fields, body, keep)
 }
 
 /// Encodes the head of a response whose body of `length` bytes is sent separately.
-pub fn answer_head(status: u16, fields: &[(&str, &str)], length: usize, keep: bool) -> Bytes {
+pub fn encode_response_head(status: u16, fields: &[(&str, &str)], length: usize, keep: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160);
     write_status_and_length(&mut out, status, length);
     finish(out, fields, &[], keep)
@@ -26,7 +26,7 @@
 
 /// Encodes a request. The content length is left out if the body is empty and the method is neither PUT nor
 /// POST.
-pub fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
+pub fn encode_request(method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(256 + body.len());
     let _ = write!(out, "{method} {target} HTTP/1.1\r\n");
     if !body.is_empty() || method == "PUT" || method == "POST" {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 without I/O: decoders that turn bytes into messages within given limits, and encoders.
 //!
-//! [`RequestDecoder`] reads requests, [`AnswerDecoder`] reads responses, and [`StreamDecoder`] reads a
+//! [`RequestDecoder`] reads requests, [`ResponseDecoder`] reads responses, and [`StreamDecoder`] reads a
 //! response whose body is processed as it arrives. The first two return a message once it is complete.
 //! Ambiguous framing is a [`Fault`], never guessed at. The package is neither a server nor a client: it has
 //! no sockets and no clock, and manages no connections.
@@ -8,21 +8,21 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod answer;
 mod body;
 mod chunked;
-mod fault;
+mod encode;
+mod error;
 mod fields;
 mod request;
+mod response;
 mod stream;
-mod write;
 
-pub use answer::{Answer, AnswerDecoder};
-pub use fault::Fault;
+pub use encode::{encode_request, encode_response, encode_response_head};
+pub use error::Fault;
 pub use fields::{Fields, Repeated};
 pub use request::{Incoming, Request, RequestDecoder};
+pub use response::{Response, ResponseDecoder};
 pub use stream::StreamDecoder;
-pub use write::{answer, answer_head, request};
 
 /// Limits on what a peer may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::fields::Fields;
 use crate::{FIELDS, Limits};
 
--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/response.rs
@@ -3,14 +3,14 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::fields::Fields;
 use crate::request::keeps_alive;
 use crate::{FIELDS, Limits};
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// Header fields.
@@ -22,21 +22,21 @@
 }
 
 /// Decodes the responses on a connection. A response without a stated length ends with the orderly close of
-/// the connection ([`AnswerDecoder::end`]). After a reset it is unknown whether such a response was complete,
-/// so it counts as incomplete.
+/// the connection ([`ResponseDecoder::end`]). After a reset it is unknown whether such a response was
+/// complete, so it counts as incomplete.
 #[derive(Clone, Debug)]
-pub struct AnswerDecoder {
+pub struct ResponseDecoder {
     limits: Limits,
     input: BytesMut,
-    current: Option<(Answer, Body)>,
+    current: Option<(Response, Body)>,
     /// Number of 1xx responses since the last final response.
     informational: u32,
 }
 
-impl AnswerDecoder {
+impl ResponseDecoder {
     /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
-        AnswerDecoder { limits, input: BytesMut::new(), current: None, informational: 0 }
+        ResponseDecoder { limits, input: BytesMut::new(), current: None, informational: 0 }
     }
 
     /// Appends received bytes to the input.
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The input is not a valid response; the connection must be closed.
-    pub fn poll(&mut self) -> Result<Option<Answer>, Fault> {
+    pub fn poll(&mut self) -> Result<Option<Response>, Fault> {
         while self.current.is_none() {
             let Some(head) = head(&mut self.input, &self.limits)? else { return Ok(None) };
             if (100..200).contains(&head.status) {
@@ -74,7 +74,7 @@
                 Framing::Unstated => Framing::UntilEnd,
                 stated => stated,
             };
-            let head = Answer { keep: head.keep && !matches!(framing, Framing::UntilEnd), ..head };
+            let head = Response { keep: head.keep && !matches!(framing, Framing::UntilEnd), ..head };
             self.current = Some((head, Body::new(framing)));
         }
         let Some((_, body)) = &mut self.current else { return Ok(None) };
@@ -89,14 +89,14 @@
     /// Returns the response that ends with the orderly close of the connection, if there is one. All input
     /// must have been [polled](AnswerDecoder::poll) before. A response that is shorter than its stated length
     /// is discarded.
-    pub fn end(&mut self) -> Option<Answer> {
+    pub fn end(&mut self) -> Option<Response> {
         let (response, body) = self.current.take()?;
-        Some(Answer { body: body.end()?, ..response })
+        Some(Response { body: body.end()?, ..response })
     }
 }
 
 /// Takes the head of a response off the input once it is complete.
-pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Answer>, Fault> {
+pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Response>, Fault> {
     if input.is_empty() {
         return Ok(None);
     }
@@ -116,5 +116,5 @@
     let fields = Fields::read(parsed.headers);
     input.advance(length);
     let keep = keeps_alive(version, &fields);
-    Ok(Some(Answer { status, fields, body: Bytes::new(), keep }))
+    Ok(Some(Response { status, fields, body: Bytes::new(), keep }))
 }
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -3,9 +3,9 @@
 use bytes::{Bytes, BytesMut};
 
 use crate::Limits;
-use crate::answer::head;
 use crate::body::{Framing, framing};
-use crate::fault::Fault;
+use crate::error::Fault;
+use crate::response::head;
 
 enum State {
     Head,
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -36,8 +36,8 @@
     (events.into_iter().filter_map(complete).collect(), fault)
 }
 
-fn answers(chunks: &[&[u8]]) -> (Vec<Answer>, Option<Fault>) {
-    decode(AnswerDecoder::new(LIMITS), chunks, AnswerDecoder::receive, AnswerDecoder::poll)
+fn responses(chunks: &[&[u8]]) -> (Vec<Response>, Option<Fault>) {
+    decode(ResponseDecoder::new(LIMITS), chunks, ResponseDecoder::receive, ResponseDecoder::poll)
 }
 
 /// The concatenated data of a stream.
@@ -51,8 +51,8 @@
     requests(&[text.as_bytes()]).1
 }
 
-fn answer_fault(text: &str) -> Option<Fault> {
-    answers(&[text.as_bytes()]).1
+fn response_fault(text: &str) -> Option<Fault> {
+    responses(&[text.as_bytes()]).1
 }
 
 #[test]
@@ -108,35 +108,35 @@
 #[test]
 fn response_with_ambiguous_or_invalid_framing_is_rejected() {
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(answer_fault(both), Some(Fault::Framing));
+    assert_eq!(response_fault(both), Some(Fault::Framing));
     assert_eq!(
-        answer_fault("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"),
+        response_fault("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"),
         Some(Fault::BodyTooLong)
     );
-    assert!(answer_fault("noise that is no head\r\n\r\n").is_some());
+    assert!(response_fault("noise that is no head\r\n\r\n").is_some());
     for chunks in ["x\r\n", "5\r\nabcdeX\r\n", "fffffffff\r\n", "2\nab\r\n", "\r\n", "1;\r\nab"] {
         let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
-        assert!(answer_fault(&text).is_some(), "{chunks:?} is accepted");
+        assert!(response_fault(&text).is_some(), "{chunks:?} is accepted");
     }
     let long = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n".to_owned()
         + &"x".repeat(0xfff)
         + "\r\n2\r\n";
-    assert_eq!(answer_fault(&long), Some(Fault::BodyTooLong));
+    assert_eq!(response_fault(&long), Some(Fault::BodyTooLong));
 }
 
 #[test]
 fn informational_responses_are_skipped_up_to_a_limit() {
     let informational = "HTTP/1.1 103 Early\r\nA: b\r\n\r\n";
     let text = informational.repeat(3) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let (whole, fault) = answers(&[text.as_bytes()]);
+    let (whole, fault) = responses(&[text.as_bytes()]);
     assert_eq!((whole.len(), whole[0].status, fault), (1, 200, None));
-    assert_eq!(answer_fault(&informational.repeat(4)), Some(Fault::Informational));
-    assert_eq!(answer_fault("HTTP/1.1 101 Switching\r\n\r\n"), Some(Fault::Informational));
+    assert_eq!(response_fault(&informational.repeat(4)), Some(Fault::Informational));
+    assert_eq!(response_fault("HTTP/1.1 101 Switching\r\n\r\n"), Some(Fault::Informational));
 }
 
 #[test]
 fn input_after_a_response_is_detected() {
-    let mut decoder = AnswerDecoder::new(LIMITS);
+    let mut decoder = ResponseDecoder::new(LIMITS);
     decoder.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokH");
     assert!(matches!(decoder.poll(), Ok(Some(_))));
     assert!(!decoder.is_between());
@@ -170,14 +170,14 @@
 
 #[test]
 fn encoded_messages_are_decoded_unchanged() {
-    let wire = request("PUT", "/c/v/o?q=1", &[("Host", "h"), ("X-Request-ID", "7")], b"body");
+    let wire = encode_request("PUT", "/c/v/o?q=1", &[("Host", "h"), ("X-Request-ID", "7")], b"body");
     let (whole, fault) = requests(&[&wire]);
     assert_eq!((fault, whole.len()), (None, 1));
     assert_eq!((whole[0].method.as_str(), whole[0].target.as_str()), ("PUT", "/c/v/o?q=1"));
     assert_eq!(&whole[0].body[..], b"body");
     assert_eq!(whole[0].fields.only("x-request-id"), Ok(Some(&b"7"[..])));
-    let wire = answer(503, &[("Retry-After", "0.038")], b"no", false);
-    let (whole, fault) = answers(&[&wire]);
+    let wire = encode_response(503, &[("Retry-After", "0.038")], b"no", false);
+    let (whole, fault) = responses(&[&wire]);
     assert_eq!((fault, whole[0].status, whole[0].keep), (None, 503, false));
     assert_eq!(whole[0].fields.only("retry-after"), Ok(Some(&b"0.038"[..])));
 }
@@ -245,7 +245,7 @@
             wire.extend(b"HTTP/1.1 200 OK\r\n");
             wire.extend(framed);
         }
-        let (whole, fault) = answers(&split_at(&wire, &positions));
+        let (whole, fault) = responses(&split_at(&wire, &positions));
         prop_assert_eq!(fault, None);
         let bodies: Vec<&[u8]> = whole.iter().map(|a| &a.body[..]).collect();
         let sent: Vec<&[u8]> = parts.iter().map(|((_, body), _)| &body[..]).collect();
@@ -275,8 +275,8 @@
         let (split, split_fault) = requests(&pieces);
         prop_assert_eq!(unsplit, split);
         prop_assert_eq!(fault.is_some(), split_fault.is_some());
-        let (unsplit, fault) = answers(&[&wire]);
-        let (split, split_fault) = answers(&pieces);
+        let (unsplit, fault) = responses(&[&wire]);
+        let (split, split_fault) = responses(&pieces);
         prop_assert_eq!(unsplit, split);
         prop_assert_eq!(fault.is_some(), split_fault.is_some());
         prop_assert_eq!(streamed(&[&wire]).0, streamed(&pieces).0);
@@ -291,8 +291,8 @@
 }
 
 /// Decodes input that an orderly close of the connection follows.
-fn decode_until_close(text: &str) -> Option<Answer> {
-    let mut decoder = AnswerDecoder::new(LIMITS);
+fn decode_until_close(text: &str) -> Option<Response> {
+    let mut decoder = ResponseDecoder::new(LIMITS);
     decoder.receive(text.as_bytes());
     match decoder.poll() {
         Ok(None) => decoder.end(),
@@ -306,7 +306,7 @@
     assert_eq!((&whole.body[..], whole.keep), (&b"all of it"[..], false));
     assert_eq!(decode_until_close("HTTP/1.1 200 OK\r\n\r\n").expect("an empty response").body.len(), 0);
     // The limit on the body length applies.
-    let mut decoder = AnswerDecoder::new(LIMITS);
+    let mut decoder = ResponseDecoder::new(LIMITS);
     decoder.receive(b"HTTP/1.1 200 OK\r\n\r\n");
     decoder.receive(&vec![b'x'; LIMITS.body + 1]);
     assert_eq!(decoder.poll(), Err(Fault::BodyTooLong));
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -80,7 +80,7 @@
         let mut fields =
             vec![("Host", host), ("X-Request-ID", self.id.as_str()), ("X-Timeout-Ms", wait.as_str())];
         fields.extend(self.key.as_deref().map(|key| ("Idempotency-Key", key)));
-        http1::request(&self.method, &self.target, &fields, &self.body)
+        http1::encode_request(&self.method, &self.target, &fields, &self.body)
     }
 }
 
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -93,7 +93,7 @@
         now: Micros,
         attempt: AttemptId,
         outcome: Outcome,
-        answer: Option<&http1::Answer>,
+        answer: Option<&http1::Response>,
     ) {
         let load = answer.and_then(load_of);
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -289,9 +289,10 @@
         let keep = keep && !(may_end && client.decoder.is_between());
         let socket = SocketId::Client(id);
         if body.len() < MIN_SHARED_BODY {
-            self.outputs.push(Output::Write(socket, http1::answer(status, fields, &body, keep)));
+            self.outputs.push(Output::Write(socket, http1::encode_response(status, fields, &body, keep)));
         } else {
-            self.outputs.push(Output::Write(socket, http1::answer_head(status, fields, body.len(), keep)));
+            self.outputs
+                .push(Output::Write(socket, http1::encode_response_head(status, fields, body.len(), keep)));
             self.outputs.push(Output::Write(socket, body));
         }
         client.waiting_since = now;
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -8,7 +8,7 @@
 
 use decisions::{Micros, NodeId, Outcome};
 use dispatch::AttemptId;
-use http1::{Answer, AnswerDecoder, Limits};
+use http1::{Limits, Response, ResponseDecoder};
 
 use crate::socket::End;
 use cooldown::COOLDOWN;
@@ -32,7 +32,7 @@
     phase: Phase,
     /// When it entered its phase.
     since: Micros,
-    decoder: AnswerDecoder,
+    decoder: ResponseDecoder,
 }
 
 /// The nodes' addresses and the connections to each node.
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub(crate) struct ConnectionUpdate {
     /// The attempt on the connection ended with this outcome.
-    pub(crate) finished: Option<(AttemptId, Outcome, Option<Answer>)>,
+    pub(crate) finished: Option<(AttemptId, Outcome, Option<Response>)>,
     /// The connection is to be closed.
     pub(crate) close: bool,
     /// This attempt waited for the connection and was never sent: it needs another one.
@@ -202,7 +202,7 @@
         }
         let id = self.next_id;
         self.next_id += 1;
-        let (phase, decoder) = (Phase::Connecting(Some(attempt)), AnswerDecoder::new(self.limits));
+        let (phase, decoder) = (Phase::Connecting(Some(attempt)), ResponseDecoder::new(self.limits));
         self.connections.insert(id, NodeConnection { node, address, phase, since: now, decoder });
         self.by_attempt.insert(attempt, id);
         self.timers.insert((now + self.connect_timeout, id));
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,10 +1,10 @@
 //! What a storage node's response says about the attempt.
 
 use decisions::Outcome;
-use http1::Answer;
+use http1::Response;
 
 /// Returns how an attempt ended, from its response. Only the node's own statement proves that it never ran.
-pub fn outcome_of(answer: &Answer) -> Outcome {
+pub fn outcome_of(answer: &Response) -> Outcome {
     let says_not_processed =
         answer.fields.only("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
     match answer.status {
@@ -15,7 +15,7 @@
 }
 
 /// Returns the number of requests that the node holds, if its load report can be read.
-pub fn load_of(answer: &Answer) -> Option<u32> {
+pub fn load_of(answer: &Response) -> Option<u32> {
     let report = answer.fields.only("x-server-load").ok()??;
     let report = std::str::from_utf8(report).ok()?.trim();
     let fields = report.strip_prefix("TEXT ")?;
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -87,7 +87,7 @@
         let limits = Limits { head: MAX_HEAD, body: MAX_LIST, informational: 8 };
         self.phase = Phase::Reading(Box::new((StreamDecoder::new(limits), ObjectSplitter::new(MAX_LIST))));
         self.last_input_at = now;
-        http1::request("GET", &format!("/v1/endpoints?watch=1&after={after}"), &[("Host", host)], &[])
+        http1::encode_request("GET", &format!("/v1/endpoints?watch=1&after={after}"), &[("Host", host)], &[])
     }
 
     /// Handles bytes received.
--- a/crates/platform/tests/scenario/checker.rs
+++ b/crates/platform/tests/scenario/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use http1::{AnswerDecoder, Incoming, Limits, RequestDecoder};
+use http1::{Incoming, Limits, RequestDecoder, ResponseDecoder};
 use platform::{End, SocketId};
 
 use super::{DRAIN_GRACE, KEY_WINDOW};
@@ -35,7 +35,7 @@
     requests: HashMap<String, RequestState>,
     /// The open request of each client.
     open: BTreeMap<SocketId, String>,
-    answers: BTreeMap<SocketId, AnswerDecoder>,
+    answers: BTreeMap<SocketId, ResponseDecoder>,
     nodes: BTreeMap<SocketId, Node>,
     /// Requests that their node served completely.
     served: BTreeSet<String>,
@@ -178,7 +178,7 @@
     }
 
     pub fn client_received(&mut self, client: SocketId, bytes: &[u8]) {
-        let decoder = self.answers.entry(client).or_insert_with(|| AnswerDecoder::new(LIMITS));
+        let decoder = self.answers.entry(client).or_insert_with(|| ResponseDecoder::new(LIMITS));
         decoder.receive(bytes);
         while let Some(answer) = decoder.poll().expect("an answer") {
             let Some(id) = self.open.remove(&client) else {
--- a/crates/world/src/world/asking.rs
+++ b/crates/world/src/world/asking.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use http1::{Answer, AnswerDecoder};
+use http1::{Response, ResponseDecoder};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 
@@ -50,7 +50,7 @@
             Some(conn) => conn,
             None if !self.gateways[g].listening => return self.over(id, |t| &mut t.nobody),
             None => {
-                let decoder = AnswerDecoder::new(LIMITS);
+                let decoder = ResponseDecoder::new(LIMITS);
                 let peer =
                     Peer::Client { decoder, requests: VecDeque::new(), early: Vec::new(), over: false };
                 let conn = self.add_conn(g, None, peer);
@@ -144,7 +144,7 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, id: u64, answer: &Answer) {
+    fn answered(&mut self, now: Micros, id: u64, answer: &Response) {
         // Nodes put the request's id into the body.
         let wrong = answer.status == 200 && answer.body.as_ref() != id.to_string().as_bytes();
         self.tally.wrong += u64::from(wrong);
--- a/crates/world/src/world/conn.rs
+++ b/crates/world/src/world/conn.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use http1::{AnswerDecoder, RequestDecoder};
+use http1::{RequestDecoder, ResponseDecoder};
 use platform::{End, SocketId};
 
 use super::{AT_ONCE, Event, World};
@@ -24,7 +24,7 @@
     },
     Agent(Watch),
     Client {
-        decoder: AnswerDecoder,
+        decoder: ResponseDecoder,
         /// Asked on it and not answered, in order.
         requests: VecDeque<u64>,
         /// What came before the gateway accepted it.
--- a/crates/world/src/world/storage.rs
+++ b/crates/world/src/world/storage.rs
@@ -73,7 +73,7 @@
         match self.nodes[n].ill {
             Some(Ill::Hangs) => return,
             Some(Ill::Fails(part)) if self.rng.random_bool(part) => {
-                let answer = http1::answer(500, &[], b"", true);
+                let answer = http1::encode_response(500, &[], b"", true);
                 return self.line.plan(WAY, Event::ToGateway(conn, answer));
             }
             _ => {}
@@ -84,7 +84,7 @@
             Arrival::Taken => self.plan_node(n),
             Arrival::Full => {
                 self.tally.full += 1;
-                let answer = http1::answer(503, &[("X-Not-Processed", "1")], b"", true);
+                let answer = http1::encode_response(503, &[("X-Not-Processed", "1")], b"", true);
                 self.line.plan(WAY, Event::ToGateway(conn, answer));
             }
             Arrival::Fallen => {
@@ -113,7 +113,7 @@
             }
             let body = work.request.to_string();
             let load = [("X-Server-Load", "TEXT inflight=1")];
-            let answer = http1::answer(200, &load, body.as_bytes(), true);
+            let answer = http1::encode_response(200, &load, body.as_bytes(), true);
             if let Some(Ill::Repeats(part, most)) = self.nodes[n].ill
                 && self.rng.random_bool(part)
             {
