--- a/crates/capacity/src/processes/agent.rs
+++ b/crates/capacity/src/processes/agent.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use http1::{Incoming, RequestDecoder};
+use http1::{RequestDecoder, RequestEvent};
 use serde_json::Value;
 
 use super::{LIMITS, LONG, io_error};
@@ -207,7 +207,7 @@
 fn asked(stream: &mut TcpStream) -> Option<u64> {
     let (mut decoder, mut buffer) = (RequestDecoder::new(LIMITS), [0; 4096]);
     loop {
-        if let Some(Incoming::Whole(request)) = decoder.poll().ok()? {
+        if let Some(RequestEvent::Complete(request)) = decoder.poll().ok()? {
             return request.target.split("after=").nth(1)?.parse().ok();
         }
         let n = stream.read(&mut buffer).ok().filter(|&n| n > 0)?;
--- a/crates/capacity/src/processes/client.rs
+++ b/crates/capacity/src/processes/client.rs
@@ -127,7 +127,9 @@
         }
         match answer.status {
             // Danger: an answer that ends its connection would be met as a fault with the next request. Harm: none; it is told here.
-            _ if !answer.keep => Err(MeasureError::Failed("a gateway ends its clients' connections".into())),
+            _ if !answer.keep_alive => {
+                Err(MeasureError::Failed("a gateway ends its clients' connections".into()))
+            }
             200 => {
                 self.served += 1;
                 Ok(())
--- a/crates/capacity/src/processes/node.rs
+++ b/crates/capacity/src/processes/node.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, JoinHandle};
 
-use http1::{Incoming, RequestDecoder};
+use http1::{RequestDecoder, RequestEvent};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 
@@ -127,7 +127,7 @@
                 Err(e) => return Err(e),
             }
             while let Some(came) = self.decoder.poll().map_err(io::Error::other)? {
-                if let Incoming::Whole(_) = came {
+                if let RequestEvent::Complete(_) = came {
                     self.stream.write_all(&http1::encode_response(200, &[], WORD, true))?;
                 }
             }
--- a/crates/crowbay/tests/late_repeats.rs
+++ b/crates/crowbay/tests/late_repeats.rs
@@ -45,7 +45,7 @@
             let mut connection = Client::new(process.address).expect("a connection");
             let answer = connection.ask(&again(client, *attempt)).expect("an answer").expect("an answer");
             if answer.status != 200 {
-                let advice = answer.fields.only("retry-after").expect("once").expect("advice");
+                let advice = answer.fields.unique("retry-after").expect("once").expect("advice");
                 let seconds: f64 = std::str::from_utf8(advice).expect("text").parse().expect("seconds");
                 figure::pass(Duration::from_secs_f64(seconds));
             }
--- a/crates/crowbay/tests/restarts.rs
+++ b/crates/crowbay/tests/restarts.rs
@@ -34,7 +34,7 @@
             Ok(Some(answer)) => {
                 // The last ones have little time left, and may be refused.
                 assert!(matches!(answer.status, 200 | 503), "{id}: {}", answer.status);
-                if !answer.keep {
+                if !answer.keep_alive {
                     return (n + 1, None);
                 }
             }
--- a/crates/crowbay/tests/stage/asked.rs
+++ b/crates/crowbay/tests/stage/asked.rs
@@ -82,7 +82,7 @@
 fn read_on(mut stream: TcpStream, mut decoder: RequestDecoder, tell: Sender<Asked>) {
     let Some(request) = next_request(&mut stream, &mut decoder) else { return };
     let at = Instant::now();
-    let id = request.fields.only("x-request-id").ok().flatten().unwrap_or(b"none");
+    let id = request.fields.unique("x-request-id").ok().flatten().unwrap_or(b"none");
     let id = String::from_utf8_lossy(id).into_owned();
     let own = tell.clone();
     let _ = tell.send(Asked { id, at, stream, decoder, tell: own });
--- a/crates/crowbay/tests/stage/customer.rs
+++ b/crates/crowbay/tests/stage/customer.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Instant;
 
-use http1::{Incoming, Request, RequestDecoder};
+use http1::{Request, RequestDecoder, RequestEvent};
 use serde_json::{Value, json};
 
 use super::{LIMITS, serve};
@@ -84,7 +84,7 @@
         };
         while let Some((request, bytes)) = waiting(&stream) {
             let field = |name: &str| {
-                let value = request.fields.only(name).ok().flatten().unwrap_or_default();
+                let value = request.fields.unique(name).ok().flatten().unwrap_or_default();
                 String::from_utf8_lossy(value).into_owned()
             };
             let (id, timeout_ms) = (field("x-request-id"), field("x-timeout-ms").parse().expect("a timeout"));
@@ -120,7 +120,7 @@
         let n = stream.peek(&mut buffer).ok().filter(|&n| n > 0)?;
         let mut decoder = RequestDecoder::new(LIMITS);
         decoder.receive(&buffer[..n]);
-        if let Some(Incoming::Whole(request)) = decoder.poll().ok()? {
+        if let Some(RequestEvent::Complete(request)) = decoder.poll().ok()? {
             return Some((request, n));
         }
         thread::yield_now();
--- a/crates/crowbay/tests/stage/mod.rs
+++ b/crates/crowbay/tests/stage/mod.rs
@@ -30,7 +30,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use http1::{Incoming, Limits, Request, RequestDecoder, Response, ResponseDecoder};
+use http1::{Limits, Request, RequestDecoder, RequestEvent, Response, ResponseDecoder};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -60,8 +60,8 @@
     let mut buffer = [0; 8192];
     loop {
         match decoder.poll().ok()? {
-            Some(Incoming::Whole(request)) => return Some(request),
-            Some(Incoming::Waits) => {}
+            Some(RequestEvent::Complete(request)) => return Some(request),
+            Some(RequestEvent::ExpectsContinue) => {}
             None => {
                 let n = stream.read(&mut buffer).ok().filter(|&n| n > 0)?;
                 decoder.receive(&buffer[..n]);
@@ -85,7 +85,7 @@
             let mut decoder = RequestDecoder::new(LIMITS);
             while let Some(request) = next_request(&mut stream, &mut decoder) {
                 let id = String::from_utf8_lossy(
-                    request.fields.only("x-request-id").ok().flatten().unwrap_or(b"none"),
+                    request.fields.unique("x-request-id").ok().flatten().unwrap_or(b"none"),
                 )
                 .into_owned();
                 node.seen.lock().expect("seen").push(id.clone());
--- a/crates/crowbay/tests/stage/usual.rs
+++ b/crates/crowbay/tests/stage/usual.rs
@@ -67,7 +67,7 @@
                 let is_right = answer.status == 200 && &answer.body[..] == id.as_bytes();
                 assert!(is_right || answer.status == 503, "{id}: {} {:?}", answer.status, answer.body);
                 served += usize::from(is_right && begun.elapsed() < PATIENCE);
-                client = answer.keep.then_some(own);
+                client = answer.keep_alive.then_some(own);
                 break;
             }
         }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -4,7 +4,7 @@
 
 use crate::Limits;
 use crate::chunked::Chunked;
-use crate::error::Fault;
+use crate::error::DecodeError;
 use crate::fields::Fields;
 
 /// How a body is framed.
@@ -21,26 +21,26 @@
 /// Determines the framing that a head states. Two lengths, or a length together with a transfer coding, are
 /// rejected: they allow request smuggling, where a second message is hidden in the body of the first and
 /// peers read different messages. The check costs nothing, because legitimate peers do not send such heads.
-pub(crate) fn framing(fields: &Fields, limits: &Limits) -> Result<Framing, Fault> {
-    let length = fields.only("content-length").map_err(|_| Fault::Framing)?;
-    let coding = fields.only("transfer-encoding").map_err(|_| Fault::Framing)?;
+pub(crate) fn framing(fields: &Fields, limits: &Limits) -> Result<Framing, DecodeError> {
+    let length = fields.unique("content-length").map_err(|_| DecodeError::InvalidLength)?;
+    let coding = fields.unique("transfer-encoding").map_err(|_| DecodeError::InvalidLength)?;
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Fault::Framing),
+        (Some(_), Some(_)) => Err(DecodeError::InvalidLength),
         (None, None) => Ok(Framing::Unstated),
         (None, Some(coding)) if coding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
             Ok(Framing::Chunked(Chunked::new()))
         }
-        (None, Some(_)) => Err(Fault::Coding),
+        (None, Some(_)) => Err(DecodeError::UnsupportedCoding),
         (Some(length), None) => {
             let digits = length.trim_ascii();
             if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-                return Err(Fault::Framing);
+                return Err(DecodeError::InvalidLength);
             }
             // A number with too many digits to parse is too long, not malformed.
-            let text = std::str::from_utf8(digits).map_err(|_| Fault::Framing)?;
+            let text = std::str::from_utf8(digits).map_err(|_| DecodeError::InvalidLength)?;
             match text.parse::<usize>() {
                 Ok(n) if n <= limits.body => Ok(Framing::Length(n)),
-                _ => Err(Fault::BodyTooLong),
+                _ => Err(DecodeError::BodyTooLong),
             }
         }
     }
@@ -59,12 +59,16 @@
     }
 
     /// Returns the body once it is complete.
-    pub(crate) fn read(&mut self, input: &mut BytesMut, limits: &Limits) -> Result<Option<Bytes>, Fault> {
+    pub(crate) fn read(
+        &mut self,
+        input: &mut BytesMut,
+        limits: &Limits,
+    ) -> Result<Option<Bytes>, DecodeError> {
         match &mut self.framing {
             Framing::Unstated => Ok(Some(Bytes::new())),
             Framing::UntilEnd => {
                 if self.bytes.len() + input.len() > limits.body {
-                    return Err(Fault::BodyTooLong);
+                    return Err(DecodeError::BodyTooLong);
                 }
                 self.bytes.unsplit(input.split());
                 Ok(None)
@@ -89,7 +93,7 @@
     }
 
     /// Number of bytes buffered for an incomplete body.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
 }
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 
-use crate::error::Fault;
+use crate::error::DecodeError;
 
 /// Maximum length of a chunk's size line, including extensions, in bytes.
 const MAX_LINE_BYTES: usize = 256;
@@ -41,14 +41,14 @@
         out: &mut BytesMut,
         max_bytes: usize,
         max_trailer_bytes: usize,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, DecodeError> {
         loop {
             match self.state {
                 State::Size => {
                     let Some(line) = line(input)? else { return Ok(false) };
                     let size = size(&line)?;
                     if size > max_bytes.saturating_sub(out.len()) {
-                        return Err(Fault::BodyTooLong);
+                        return Err(DecodeError::BodyTooLong);
                     }
                     self.state = if size == 0 { State::Trailer } else { State::Data(size) };
                 }
@@ -64,13 +64,13 @@
                 State::DataEnd => {
                     if input.len() < 2 {
                         return if input.first().is_some_and(|&b| b != b'\r') {
-                            Err(Fault::Chunk)
+                            Err(DecodeError::MalformedChunk)
                         } else {
                             Ok(false)
                         };
                     }
                     if &input[..2] != b"\r\n" {
-                        return Err(Fault::Chunk);
+                        return Err(DecodeError::MalformedChunk);
                     }
                     input.advance(2);
                     self.state = State::Size;
@@ -79,7 +79,7 @@
                     let Some(line) = line(input)? else { return Ok(false) };
                     self.trailer_bytes += line.len();
                     if self.trailer_bytes > max_trailer_bytes {
-                        return Err(Fault::HeadTooLong);
+                        return Err(DecodeError::HeadTooLong);
                     }
                     if line.is_empty() {
                         self.state = State::Complete;
@@ -93,12 +93,12 @@
 
 /// Takes a line, which must end with CR LF, off the input and returns it without its end. Returns `None` if
 /// the line is incomplete.
-fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
+fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, DecodeError> {
     let Some(end) = input.iter().take(MAX_LINE_BYTES + 2).position(|&b| b == b'\n') else {
-        return if input.len() > MAX_LINE_BYTES { Err(Fault::Chunk) } else { Ok(None) };
+        return if input.len() > MAX_LINE_BYTES { Err(DecodeError::MalformedChunk) } else { Ok(None) };
     };
     if end == 0 || input[end - 1] != b'\r' {
-        return Err(Fault::Chunk);
+        return Err(DecodeError::MalformedChunk);
     }
     let mut line = input.split_to(end + 1);
     line.truncate(end - 1);
@@ -106,13 +106,13 @@
 }
 
 /// Parses the size of a chunk; extensions are ignored.
-fn size(line: &[u8]) -> Result<usize, Fault> {
+fn size(line: &[u8]) -> Result<usize, DecodeError> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let rest = &line[digits..];
     let ends_properly = rest.is_empty() || rest.trim_ascii_start().first() == Some(&b';');
     if digits == 0 || digits > MAX_SIZE_DIGITS || !ends_properly {
-        return Err(Fault::Chunk);
+        return Err(DecodeError::MalformedChunk);
     }
-    let text = std::str::from_utf8(&line[..digits]).map_err(|_| Fault::Chunk)?;
-    usize::from_str_radix(text, 16).map_err(|_| Fault::Chunk)
+    let text = std::str::from_utf8(&line[..digits]).map_err(|_| DecodeError::MalformedChunk)?;
+    usize::from_str_radix(text, 16).map_err(|_| DecodeError::MalformedChunk)
 }
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -5,17 +5,17 @@
 use bytes::{Bytes, BytesMut};
 
 /// Encodes a response with its content length. `fields` are names and values of further header fields.
-pub fn encode_response(status: u16, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
+pub fn encode_response(status: u16, fields: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160 + body.len());
     write_status_and_length(&mut out, status, body.len());
-    finish(out, fields, body, keep)
+    finish(out, fields, body, keep_alive)
 }
 
 /// Encodes the head of a response whose body of `length` bytes is sent separately.
-pub fn encode_response_head(status: u16, fields: &[(&str, &str)], length: usize, keep: bool) -> Bytes {
+pub fn encode_response_head(status: u16, fields: &[(&str, &str)], length: usize, keep_alive: bool) -> Bytes {
     let mut out = BytesMut::with_capacity(160);
     write_status_and_length(&mut out, status, length);
-    finish(out, fields, &[], keep)
+    finish(out, fields, &[], keep_alive)
 }
 
 /// Writes the status line and the content length.
@@ -36,11 +36,11 @@
 }
 
 /// Appends the header fields, the end of the head and the body.
-fn finish(mut out: BytesMut, fields: &[(&str, &str)], body: &[u8], keep: bool) -> Bytes {
+fn finish(mut out: BytesMut, fields: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Bytes {
     for (name, value) in fields {
         let _ = write!(out, "{name}: {value}\r\n");
     }
-    out.extend_from_slice(if keep { b"\r\n" } else { b"Connection: close\r\n\r\n" });
+    out.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
     out.extend_from_slice(body);
     out.freeze()
 }
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -5,7 +5,7 @@
 /// A header field that may appear only once appears more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a header field appears more than once")]
-pub struct Repeated;
+pub struct RepeatedField;
 
 /// The header fields of a message in their order, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -27,16 +27,16 @@
     ///
     /// # Errors
     /// The field appears more than once.
-    pub fn only<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, Repeated> {
+    pub fn unique<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, RepeatedField> {
         let mut values = self.all(name);
         match (values.next(), values.next()) {
-            (_, Some(_)) => Err(Repeated),
+            (_, Some(_)) => Err(RepeatedField),
             (value, None) => Ok(value),
         }
     }
 
     /// Whether a comma-separated list field contains a word, ignoring case.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn list_contains(&self, name: &str, word: &str) -> bool {
         self.all(name).any(|v| {
             v.split(|&b| b == b',').any(|item| item.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
         })
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`RequestDecoder`] reads requests, [`ResponseDecoder`] reads responses, and [`StreamDecoder`] reads a
 //! response whose body is processed as it arrives. The first two return a message once it is complete.
-//! Ambiguous framing is a [`Fault`], never guessed at. The package is neither a server nor a client: it has
-//! no sockets and no clock, and manages no connections.
+//! Ambiguous framing is a [`DecodeError`], never guessed at. The package is neither a server nor a client: it
+//! has no sockets and no clock, and manages no connections.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,9 +18,9 @@
 mod stream;
 
 pub use encode::{encode_request, encode_response, encode_response_head};
-pub use error::Fault;
-pub use fields::{Fields, Repeated};
-pub use request::{Incoming, Request, RequestDecoder};
+pub use error::DecodeError;
+pub use fields::{Fields, RepeatedField};
+pub use request::{Request, RequestDecoder, RequestEvent};
 pub use response::{Response, ResponseDecoder};
 pub use stream::StreamDecoder;
 
@@ -36,4 +36,4 @@
 }
 
 /// Maximum number of header fields in a message.
-pub const FIELDS: usize = 64;
+pub const MAX_FIELDS: usize = 64;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -3,9 +3,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
-use crate::error::Fault;
+use crate::error::DecodeError;
 use crate::fields::Fields;
-use crate::{FIELDS, Limits};
+use crate::{Limits, MAX_FIELDS};
 
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,16 +19,16 @@
     /// Body.
     pub body: Bytes,
     /// The client may send another request on the connection.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// An event of a [`RequestDecoder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Incoming {
+pub enum RequestEvent {
     /// The client expects a `100 Continue` response before it sends the body.
-    Waits,
+    ExpectsContinue,
     /// A complete request.
-    Whole(Request),
+    Complete(Request),
 }
 
 /// Decodes the requests on a connection.
@@ -52,12 +52,12 @@
     }
 
     /// Number of received bytes that are not part of a returned request.
-    pub fn held(&self) -> usize {
-        self.input.len() + self.current.as_ref().map_or(0, |(_, body, _)| body.held())
+    pub fn buffered_bytes(&self) -> usize {
+        self.input.len() + self.current.as_ref().map_or(0, |(_, body, _)| body.buffered_bytes())
     }
 
     /// Whether no part of another request has been received.
-    pub fn is_between(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.current.is_none() && self.input.is_empty()
     }
 
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// The input is not a valid request; the connection must be closed.
-    pub fn poll(&mut self) -> Result<Option<Incoming>, Fault> {
+    pub fn poll(&mut self) -> Result<Option<RequestEvent>, DecodeError> {
         if self.current.is_none() {
             let Some((request, framing, expects_continue)) = self.head()? else { return Ok(None) };
             let body = match framing {
@@ -79,42 +79,48 @@
         match body.read(&mut self.input, &self.limits)? {
             Some(bytes) => Ok(self.current.take().map(|(mut request, _, _)| {
                 request.body = bytes;
-                Incoming::Whole(request)
+                RequestEvent::Complete(request)
             })),
-            None if std::mem::take(expects_continue) && self.input.is_empty() => Ok(Some(Incoming::Waits)),
+            None if std::mem::take(expects_continue) && self.input.is_empty() => {
+                Ok(Some(RequestEvent::ExpectsContinue))
+            }
             None => Ok(None),
         }
     }
 
     /// Takes the head of a request off the input once it is complete; returns whether the client expects `100
     /// Continue` as the last element.
-    fn head(&mut self) -> Result<Option<(Request, Framing, bool)>, Fault> {
+    fn head(&mut self) -> Result<Option<(Request, Framing, bool)>, DecodeError> {
         if self.input.is_empty() {
             return Ok(None);
         }
-        let mut headers = [httparse::EMPTY_HEADER; FIELDS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(&self.input) {
             Ok(httparse::Status::Complete(n)) if n <= self.limits.head => n,
             Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => {
-                return Err(Fault::HeadTooLong);
+                return Err(DecodeError::HeadTooLong);
             }
             Ok(httparse::Status::Partial) if self.input.len() > self.limits.head => {
-                return Err(Fault::HeadTooLong);
+                return Err(DecodeError::HeadTooLong);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(httparse::Error::Version) => return Err(Fault::Version),
-            Err(_) => return Err(Fault::Head),
+            Err(httparse::Error::Version) => return Err(DecodeError::UnsupportedVersion),
+            Err(_) => return Err(DecodeError::MalformedHead),
         };
         let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
-            return Err(Fault::Head);
+            return Err(DecodeError::MalformedHead);
         };
         let fields = Fields::read(parsed.headers);
-        let (framing, keep) = (framing(&fields, &self.limits)?, keeps_alive(version, &fields));
-        let expects_continue = version == 1 && fields.lists("expect", "100-continue");
+        let (framing, keep_alive) = (framing(&fields, &self.limits)?, keeps_alive(version, &fields));
+        let expects_continue = version == 1 && fields.list_contains("expect", "100-continue");
         let (method, target) = (method.to_owned(), target.to_owned());
         self.input.advance(length);
-        Ok(Some((Request { method, target, fields, body: Bytes::new(), keep }, framing, expects_continue)))
+        Ok(Some((
+            Request { method, target, fields, body: Bytes::new(), keep_alive },
+            framing,
+            expects_continue,
+        )))
     }
 }
 
@@ -122,7 +128,7 @@
 /// message.
 pub(crate) fn keeps_alive(version: u8, fields: &Fields) -> bool {
     match version {
-        1 => !fields.lists("connection", "close"),
-        _ => fields.lists("connection", "keep-alive") && !fields.lists("connection", "close"),
+        1 => !fields.list_contains("connection", "close"),
+        _ => fields.list_contains("connection", "keep-alive") && !fields.list_contains("connection", "close"),
     }
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -3,10 +3,10 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
-use crate::error::Fault;
+use crate::error::DecodeError;
 use crate::fields::Fields;
 use crate::request::keeps_alive;
-use crate::{FIELDS, Limits};
+use crate::{Limits, MAX_FIELDS};
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// Body.
     pub body: Bytes,
     /// The server keeps the connection open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Decodes the responses on a connection. A response without a stated length ends with the orderly close of
@@ -45,12 +45,12 @@
     }
 
     /// Number of received bytes that are not part of a returned response.
-    pub fn held(&self) -> usize {
-        self.input.len() + self.current.as_ref().map_or(0, |(_, body)| body.held())
+    pub fn buffered_bytes(&self) -> usize {
+        self.input.len() + self.current.as_ref().map_or(0, |(_, body)| body.buffered_bytes())
     }
 
     /// Whether nothing has been received after the last returned response.
-    pub fn is_between(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.current.is_none() && self.input.is_empty()
     }
 
@@ -58,13 +58,13 @@
     ///
     /// # Errors
     /// The input is not a valid response; the connection must be closed.
-    pub fn poll(&mut self) -> Result<Option<Response>, Fault> {
+    pub fn poll(&mut self) -> Result<Option<Response>, DecodeError> {
         while self.current.is_none() {
             let Some(head) = head(&mut self.input, &self.limits)? else { return Ok(None) };
             if (100..200).contains(&head.status) {
                 self.informational += 1;
                 if head.status == 101 || self.informational > self.limits.informational {
-                    return Err(Fault::Informational);
+                    return Err(DecodeError::TooManyInformational);
                 }
                 continue;
             }
@@ -74,7 +74,8 @@
                 Framing::Unstated => Framing::UntilEnd,
                 stated => stated,
             };
-            let head = Response { keep: head.keep && !matches!(framing, Framing::UntilEnd), ..head };
+            let head =
+                Response { keep_alive: head.keep_alive && !matches!(framing, Framing::UntilEnd), ..head };
             self.current = Some((head, Body::new(framing)));
         }
         let Some((_, body)) = &mut self.current else { return Ok(None) };
@@ -96,25 +97,27 @@
 }
 
 /// Takes the head of a response off the input once it is complete.
-pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Response>, Fault> {
+pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Response>, DecodeError> {
     if input.is_empty() {
         return Ok(None);
     }
-    let mut headers = [httparse::EMPTY_HEADER; FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(input) {
         Ok(httparse::Status::Complete(n)) if n <= limits.head => n,
         Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(Fault::HeadTooLong);
+            return Err(DecodeError::HeadTooLong);
         }
-        Ok(httparse::Status::Partial) if input.len() > limits.head => return Err(Fault::HeadTooLong),
+        Ok(httparse::Status::Partial) if input.len() > limits.head => return Err(DecodeError::HeadTooLong),
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::Version) => return Err(Fault::Version),
-        Err(_) => return Err(Fault::Head),
+        Err(httparse::Error::Version) => return Err(DecodeError::UnsupportedVersion),
+        Err(_) => return Err(DecodeError::MalformedHead),
+    };
+    let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
+        return Err(DecodeError::MalformedHead);
     };
-    let (Some(status), Some(version)) = (parsed.code, parsed.version) else { return Err(Fault::Head) };
     let fields = Fields::read(parsed.headers);
     input.advance(length);
-    let keep = keeps_alive(version, &fields);
-    Ok(Some(Response { status, fields, body: Bytes::new(), keep }))
+    let keep_alive = keeps_alive(version, &fields);
+    Ok(Some(Response { status, fields, body: Bytes::new(), keep_alive }))
 }
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -4,7 +4,7 @@
 
 use crate::Limits;
 use crate::body::{Framing, framing};
-use crate::error::Fault;
+use crate::error::DecodeError;
 use crate::response::head;
 
 enum State {
@@ -22,14 +22,14 @@
     state: State,
     status: Option<u16>,
     /// The error that ends the stream. It is returned after the data that was received before it.
-    fault: Option<Fault>,
+    error: Option<DecodeError>,
 }
 
 impl StreamDecoder {
     /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         let limits = Limits { body: usize::MAX, ..limits };
-        StreamDecoder { limits, input: BytesMut::new(), state: State::Head, status: None, fault: None }
+        StreamDecoder { limits, input: BytesMut::new(), state: State::Head, status: None, error: None }
     }
 
     /// Appends received bytes to the input.
@@ -43,7 +43,7 @@
     }
 
     /// Whether the response is complete.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.state, State::Complete)
     }
 
@@ -51,23 +51,23 @@
     ///
     /// # Errors
     /// The input is not a valid response; the connection must be closed.
-    pub fn poll(&mut self) -> Result<Option<Bytes>, Fault> {
+    pub fn poll(&mut self) -> Result<Option<Bytes>, DecodeError> {
         let mut piece = BytesMut::new();
-        while self.fault.is_none() {
+        while self.error.is_none() {
             let lengths_before = (piece.len(), self.input.len());
-            self.fault = self.advance(&mut piece).err();
+            self.error = self.advance(&mut piece).err();
             if lengths_before == (piece.len(), self.input.len()) {
                 break;
             }
         }
-        match self.fault {
-            Some(fault) if piece.is_empty() => Err(fault),
+        match self.error {
+            Some(error) if piece.is_empty() => Err(error),
             _ => Ok((!piece.is_empty()).then(|| piece.freeze())),
         }
     }
 
     /// Decodes the next element of the input, if it is complete, and appends body data to `piece`.
-    fn advance(&mut self, piece: &mut BytesMut) -> Result<(), Fault> {
+    fn advance(&mut self, piece: &mut BytesMut) -> Result<(), DecodeError> {
         match &mut self.state {
             State::Head => {
                 if let Some(response) = head(&mut self.input, &self.limits)?
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -104,7 +104,7 @@
     };
     let (volume, object) = (parse_hex(volume)?, parse_hex(object)?);
     let header_class =
-        field_text(fields.only("x-priority-class"), Rejection::Class)?.ok_or(Rejection::Class)?;
+        field_text(fields.unique("x-priority-class"), Rejection::Class)?.ok_or(Rejection::Class)?;
     let index = service.classes.iter().position(|c| c.name == class).ok_or(Rejection::Class)?;
     if header_class != class {
         return Err(Rejection::Class);
@@ -118,18 +118,18 @@
     if !is_valid {
         return Err(Rejection::Method);
     }
-    let plan = field_text(fields.only("x-plan"), Rejection::Plan)?.ok_or(Rejection::Plan)?;
+    let plan = field_text(fields.unique("x-plan"), Rejection::Plan)?.ok_or(Rejection::Plan)?;
     let plan = service.plans.iter().position(|p| p == plan).ok_or(Rejection::Plan)?;
     let id = visible_text(
-        field_text(fields.only("x-request-id"), Rejection::Id)?.ok_or(Rejection::Id)?,
+        field_text(fields.unique("x-request-id"), Rejection::Id)?.ok_or(Rejection::Id)?,
         Rejection::Id,
     )?;
-    let key = field_text(fields.only("idempotency-key"), Rejection::Key)?;
+    let key = field_text(fields.unique("idempotency-key"), Rejection::Key)?;
     let key = key.map(|k| visible_text(k, Rejection::Key)).transpose()?;
     if rules.keyed && key.is_none() {
         return Err(Rejection::Key);
     }
-    let timeout = field_text(fields.only("x-timeout-ms"), Rejection::Timeout)?.ok_or(Rejection::Timeout)?;
+    let timeout = field_text(fields.unique("x-timeout-ms"), Rejection::Timeout)?.ok_or(Rejection::Timeout)?;
     let timeout = parse_number(timeout).filter(|&ms| ms > 0).ok_or(Rejection::Timeout)?;
     // No client waits longer than the longest configured deadline, so a longer stated timeout holds nothing
     // beyond that.
@@ -138,9 +138,9 @@
     } else {
         timeout * 1000
     };
-    let extras = field_text(fields.only("x-io"), Rejection::Extras)?.ok_or(Rejection::Extras)?;
+    let extras = field_text(fields.unique("x-io"), Rejection::Extras)?.ok_or(Rejection::Extras)?;
     let (units, shard, hosts) = parse_extras(extras, service, settings).ok_or(Rejection::Extras)?;
-    let retry = field_text(fields.only("x-retried"), Rejection::Extras)? == Some("1");
+    let retry = field_text(fields.unique("x-retried"), Rejection::Extras)? == Some("1");
     let request_for_decisions = DecisionRequest {
         id: RequestId(0),
         class: index,
@@ -162,7 +162,7 @@
         method: request.method,
         target: request.target,
         body: request.body,
-        keep: request.keep,
+        keep: request.keep_alive,
     })
 }
 
@@ -174,7 +174,7 @@
 }
 
 fn field_text(
-    value: Result<Option<&[u8]>, http1::Repeated>,
+    value: Result<Option<&[u8]>, http1::RepeatedField>,
     rejection: Rejection,
 ) -> Result<Option<&str>, Rejection> {
     let value = value.map_err(|_| rejection)?;
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -58,7 +58,7 @@
 
     /// Whether the connection has no open request, no lingering close and no part of a further request.
     pub(crate) fn is_idle(&self) -> bool {
-        self.open_request.is_none() && self.lingering.is_none() && self.decoder.is_between()
+        self.open_request.is_none() && self.lingering.is_none() && self.decoder.is_idle()
     }
 }
 
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
 use dispatch::{AttemptId, Command, Dispatcher, Verdict};
-use http1::{Incoming, Limits, Request};
+use http1::{Limits, Request, RequestEvent};
 use profile::Service;
 
 use crate::admission::{AdmittedRequest, Rejection, admit};
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -14,7 +14,8 @@
             return self.outputs.push(Output::ResumeReading(SocketId::Client(id)));
         }
         if client.open_request.is_some()
-            && (client.discarded_bytes > 0 || client.decoder.held() + bytes.len() > MAX_PIPELINED_BYTES)
+            && (client.discarded_bytes > 0
+                || client.decoder.buffered_bytes() + bytes.len() > MAX_PIPELINED_BYTES)
         {
             client.discarded_bytes += bytes.len();
             return self.pipeline_overflow(now, id);
@@ -62,15 +63,16 @@
             }
             match client.decoder.poll() {
                 Ok(None) => break,
-                Ok(Some(Incoming::Waits)) => {
+                Ok(Some(RequestEvent::ExpectsContinue)) => {
                     let interim_response = Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n");
                     self.outputs.push(Output::Write(SocketId::Client(id), interim_response));
                 }
-                Ok(Some(Incoming::Whole(request))) => {
+                Ok(Some(RequestEvent::Complete(request))) => {
                     // The deadline counts from the request's own last byte. Counted from now, a request that
                     // waited behind another would give its node more time than its client has left, and the
                     // response would reach nobody.
-                    let received_at = client.arrivals.last_byte(client.decoder.held()).unwrap_or(now);
+                    let received_at =
+                        client.arrivals.last_byte(client.decoder.buffered_bytes()).unwrap_or(now);
                     self.handle_request(now, id, received_at, request);
                 }
                 Err(fault) => {
@@ -83,7 +85,7 @@
     }
 
     pub(super) fn handle_request(&mut self, now: Micros, id: u64, received_at: Micros, request: Request) {
-        let keep = request.keep;
+        let keep = request.keep_alive;
         if request.method == "GET" && request.target == "/ready" {
             return self.write_response(now, id, 200, &[], Bytes::from_static(b"ready\n"), keep);
         }
@@ -286,7 +288,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         // Requests already received behind this one would be lost if the connection closed now, so it is keep_for
         // until they are answered.
-        let keep = keep && !(may_end && client.decoder.is_between());
+        let keep = keep && !(may_end && client.decoder.is_idle());
         let socket = SocketId::Client(id);
         if body.len() < MIN_SHARED_BODY {
             self.outputs.push(Output::Write(socket, http1::encode_response(status, fields, &body, keep)));
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -228,10 +228,10 @@
             // with it. The connection is closed, whatever the node sent; the cost is a new connection.
             return ConnectionUpdate { close: true, ..self.ended(id, End::Cut) };
         };
-        let buffered_before = connection.decoder.held();
+        let buffered_before = connection.decoder.buffered_bytes();
         connection.decoder.receive(bytes);
         let polled = connection.decoder.poll();
-        self.buffered = self.buffered + connection.decoder.held() - buffered_before;
+        self.buffered = self.buffered + connection.decoder.buffered_bytes() - buffered_before;
         match polled {
             Ok(None) if self.buffered <= self.max_buffered => ConnectionUpdate::default(),
             Ok(None) => {
@@ -250,8 +250,8 @@
                 }
             }
             Ok(Some(answer)) => {
-                let kept = answer.keep
-                    && connection.decoder.is_between()
+                let kept = answer.keep_alive
+                    && connection.decoder.is_idle()
                     && self.addresses.get(&connection.node) == Some(&connection.address);
                 self.by_attempt.remove(&attempt);
                 if kept {
@@ -292,7 +292,7 @@
             Phase::Connecting(Some(attempt)) => Some((attempt, Outcome::Unreachable, None)),
             Phase::Busy(attempt) => Some(match end {
                 // A node that has begun to respond has seen enough of the request to have executed something.
-                End::Cut if connection.decoder.is_between() => (attempt, Outcome::Unreachable, None),
+                End::Cut if connection.decoder.is_idle() => (attempt, Outcome::Unreachable, None),
                 End::Cut | End::Broken => (attempt, Outcome::Reset, None),
                 End::Orderly => match connection.decoder.end() {
                     Some(answer) => (attempt, crate::outcome::outcome_of(&answer), Some(answer)),
@@ -348,7 +348,7 @@
 
     fn remove(&mut self, id: ConnectionId) -> Option<NodeConnection> {
         let connection = self.connections.remove(&id)?;
-        self.buffered -= connection.decoder.held();
+        self.buffered -= connection.decoder.buffered_bytes();
         match &connection.phase {
             Phase::Connecting(waiting) => {
                 self.timers.remove(&(connection.since + self.connect_timeout, id));
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -6,7 +6,7 @@
 /// Returns how an attempt ended, from its response. Only the node's own statement proves that it never ran.
 pub fn outcome_of(answer: &Response) -> Outcome {
     let says_not_processed =
-        answer.fields.only("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
+        answer.fields.unique("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
     match answer.status {
         200 => Outcome::Served,
         503 | 504 if says_not_processed => Outcome::Full,
@@ -16,7 +16,7 @@
 
 /// Returns the number of requests that the node holds, if its load report can be read.
 pub fn load_of(answer: &Response) -> Option<u32> {
-    let report = answer.fields.only("x-server-load").ok()??;
+    let report = answer.fields.unique("x-server-load").ok()??;
     let report = std::str::from_utf8(report).ok()?.trim();
     let fields = report.strip_prefix("TEXT ")?;
     // The protocol's page names the field `inflight`; nodes that follow the settings were seen to send
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -105,7 +105,7 @@
         received.finished = loop {
             let piece = match stream.poll() {
                 Ok(Some(piece)) => piece,
-                Ok(None) => break stream.is_over() || stream.status().is_some_and(|s| s != 200),
+                Ok(None) => break stream.is_complete() || stream.status().is_some_and(|s| s != 200),
                 Err(fault) => {
                     tracing::warn!(%fault, "invalid HTTP response from discovery");
                     break true;
--- a/crates/platform/tests/scenario/checker.rs
+++ b/crates/platform/tests/scenario/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use http1::{Incoming, Limits, RequestDecoder, ResponseDecoder};
+use http1::{Limits, RequestDecoder, RequestEvent, ResponseDecoder};
 use platform::{End, SocketId};
 
 use super::{DRAIN_GRACE, KEY_WINDOW};
@@ -61,9 +61,9 @@
     pub fn request_delivered(&mut self, client: SocketId, now: i64, text: &str, after_end: bool) {
         let mut decoder = RequestDecoder::new(LIMITS);
         decoder.receive(text.as_bytes());
-        let Ok(Some(Incoming::Whole(request))) = decoder.poll() else { panic!("{text}") };
+        let Ok(Some(RequestEvent::Complete(request))) = decoder.poll() else { panic!("{text}") };
         let field = |name| {
-            let value = request.fields.only(name).ok().flatten().expect("a field");
+            let value = request.fields.unique(name).ok().flatten().expect("a field");
             std::str::from_utf8(value).expect("text").to_owned()
         };
         let (id, ms): (String, i64) =
@@ -107,10 +107,12 @@
     pub fn node_received(&mut self, socket: SocketId, now: i64, bytes: &[u8]) {
         let node = self.nodes.get_mut(&socket).expect("an established connection");
         node.decoder.receive(bytes);
-        let Ok(Some(Incoming::Whole(request))) = node.decoder.poll() else { panic!("no whole request") };
-        assert!(node.decoder.is_between(), "two at once on one connection");
+        let Ok(Some(RequestEvent::Complete(request))) = node.decoder.poll() else {
+            panic!("no whole request")
+        };
+        assert!(node.decoder.is_idle(), "two at once on one connection");
         assert!(node.request_sent.is_none(), "the previous request has no response");
-        let id = request.fields.only("x-request-id").ok().flatten().expect("an id");
+        let id = request.fields.unique("x-request-id").ok().flatten().expect("an id");
         let id = String::from_utf8(id.to_vec()).expect("text");
         let state = self.requests.get_mut(&id).expect("a client's");
         assert!(!state.client_gone, "an attempt of {id} started although its client disconnected");
--- a/crates/world/src/world/asking.rs
+++ b/crates/world/src/world/asking.rs
@@ -134,7 +134,7 @@
         {
             let Ok(Some(answer)) = decoder.poll() else { return };
             let Some(id) = requests.pop_front() else { return };
-            let free = answer.keep && requests.is_empty();
+            let free = answer.keep_alive && requests.is_empty();
             if free && self.scenario.persist && self.gateways[g].left.is_some() {
                 self.line.plan(THINKS, Event::Presses(conn));
             } else if free {
@@ -158,7 +158,7 @@
             429 | 503 => {
                 self.over(id, |t| &mut t.refused);
                 if self.scenario.returns && !again {
-                    let advice = answer.fields.only("retry-after").ok().flatten();
+                    let advice = answer.fields.unique("retry-after").ok().flatten();
                     let advice = advice.and_then(|a| std::str::from_utf8(a).ok()?.parse::<f64>().ok());
                     let after = (advice.unwrap_or(0.1) * 1e6) as Micros;
                     self.comes_again(id, after);
--- a/crates/world/src/world/storage.rs
+++ b/crates/world/src/world/storage.rs
@@ -1,7 +1,7 @@
 //! What reaches storage nodes, and what they answer.
 
 use emulator::Arrival;
-use http1::{Incoming, RequestDecoder};
+use http1::{RequestDecoder, RequestEvent};
 use platform::SocketId;
 
 use super::conn::{Conn, Peer};
@@ -46,14 +46,14 @@
         }
         decoder.receive(bytes);
         let mut whole = Vec::new();
-        while let Ok(Some(Incoming::Whole(request))) = decoder.poll() {
+        while let Ok(Some(RequestEvent::Complete(request))) = decoder.poll() {
             whole.push(request);
         }
         if !whole.is_empty() && !std::mem::replace(used, true) {
             self.tally.used += 1;
         }
         for request in whole {
-            let id = request.fields.only("x-request-id").ok().flatten();
+            let id = request.fields.unique("x-request-id").ok().flatten();
             let id = id.and_then(|id| std::str::from_utf8(id).ok()?.parse().ok());
             if let Some(id) = id {
                 self.arrives(n, conn, id);
