--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use bytes::Bytes;
-use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
+use decisions::{Idempotency, Micros, NodeId, Outcome, Request, RequestId, ShardId, Shortage, VolumeId};
 use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
@@ -210,7 +210,7 @@
         for id in ids {
             let Some(open) = self.open.get(&id) else { continue };
             let answer = if self.retry_is_safe(open) {
-                Answer::Refused { come_back: self.catalogue.settings.most_advice }
+                Answer::Refused { come_back: self.catalogue.settings.max_retry_after }
             } else {
                 Answer::Failed
             };
@@ -387,7 +387,10 @@
             shard: part.shard,
             is_retry,
             token: operation.token,
-            keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
+            keyed: matches!(
+                self.catalogue.settings.classes[open.class].idempotency,
+                Idempotency::Keyed { .. }
+            ),
         }));
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -6,21 +6,21 @@
 use storage_core::{Catalogue, ClassRule, Core, ListedNode, Opcode, Operation, OperationId, Volume};
 
 pub fn settings() -> Settings {
-    let class = |repeats, in_order| Class {
+    let class = |idempotency, in_order| Class {
         latency_target: 200_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order,
         stream: false,
     };
     Settings {
         classes: vec![
-            class(Repeats::Safe, false),
-            class(Repeats::Keyed { group: Group::Shard, window: 2_000_000 }, true),
-            class(Repeats::Unsafe, false),
-            class(Repeats::Safe, false),
+            class(Idempotency::Safe, false),
+            class(Idempotency::Keyed { scope: DedupScope::Shard, window: 2_000_000 }, true),
+            class(Idempotency::Unsafe, false),
+            class(Idempotency::Safe, false),
         ],
         plans: vec![Plan {
             rate: 1000.0,
@@ -33,25 +33,25 @@
         }],
         hosts: 1,
         index: 0,
-        must_ask: false,
-        most_attempts: 4,
-        second_copies: false,
-        cancel: false,
-        probes: false,
-        advice: true,
-        most_advice: 1_000_000,
+        needs_subscription: false,
+        max_attempts: 4,
+        hedging: false,
+        cancellation: false,
+        probing: false,
+        retry_advice: true,
+        max_retry_after: 1_000_000,
         cold_units: 30.0,
         cold_window: 2_000_000,
-        cold_from: 0.2,
+        cold_start_fraction: 0.2,
         warm_after: 10_000_000,
         drain_grace: 500_000,
-        order_rest: 200_000,
-        budget: None,
-        most_units: 8.0,
-        mean_units: 1.0,
+        key_pause: 200_000,
+        retry_budget: None,
+        max_request_units: 8.0,
+        mean_request_units: 1.0,
         share_worth: 0.4,
         spare_worth: 0.1,
-        waste_price: 0.0,
+        waste_cost: 0.0,
     }
 }
 
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -70,7 +70,9 @@
         let settings = &catalogue.settings;
         let orders_file = folder.join("word");
         let previous: Option<Word> = match filelog::read(&orders_file)? {
-            Some(bytes) => Some(wire::decode(&bytes).ok_or_else(|| GatewayError::Word(orders_file.clone()))?),
+            Some(bytes) => Some(
+                wire::decode(&bytes).ok_or_else(|| GatewayError::InvalidOrdersFile(orders_file.clone()))?,
+            ),
             None => None,
         };
         let max_execution_time = options.max_execution_time.as_micros() as Micros;
@@ -121,14 +123,14 @@
             AdmissionOptions {
                 cold_units: settings.cold_units,
                 cold_window: settings.cold_window,
-                cold_from: settings.cold_from,
+                cold_from: settings.cold_start_fraction,
                 warm_after: settings.warm_after,
                 gateways: settings.hosts,
-                most_advice: settings.most_advice.max(1),
+                most_advice: settings.max_retry_after.max(1),
             },
             seed,
         );
-        let (warm_after, max_retry_delay) = (settings.warm_after, settings.most_advice.max(1));
+        let (warm_after, max_retry_delay) = (settings.warm_after, settings.max_retry_after.max(1));
         Ok(RecoveryDriver {
             recovery,
             admission,
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -22,7 +22,7 @@
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats: Repeats::Safe,
+        idempotency: Idempotency::Safe,
         in_order: false,
         stream: false,
     };
@@ -40,25 +40,25 @@
         plans: vec![plan],
         hosts: 1,
         index: 0,
-        must_ask: false,
-        most_attempts: 4,
-        second_copies: false,
-        cancel: true,
-        probes: false,
-        advice: true,
-        most_advice: 30 * SECOND,
+        needs_subscription: false,
+        max_attempts: 4,
+        hedging: false,
+        cancellation: true,
+        probing: false,
+        retry_advice: true,
+        max_retry_after: 30 * SECOND,
         cold_units: 30.0,
         cold_window: 2 * SECOND,
-        cold_from: 0.2,
+        cold_start_fraction: 0.2,
         warm_after: 10 * SECOND,
         drain_grace: SECOND,
-        order_rest: 200_000,
-        budget: None,
-        most_units: 8.0,
-        mean_units: 1.0,
+        key_pause: 200_000,
+        retry_budget: None,
+        max_request_units: 8.0,
+        mean_request_units: 1.0,
         share_worth: 0.4,
         spare_worth: 0.1,
-        waste_price: 0.03,
+        waste_cost: 0.03,
     }
 }
 
@@ -142,7 +142,7 @@
         for output in out {
             if let Output::Allow(allowance) = output {
                 self.allowances_given += 1;
-                self.allowances.say(allowance);
+                self.allowances.set(allowance);
             }
         }
     }
@@ -158,20 +158,21 @@
 
     fn give_allowance(&mut self) -> bool {
         for _ in 0..std::mem::take(&mut self.wanted) {
-            self.cap_input(Input::Wanted { shard: SHARD, worth: 1.0, left: SECOND });
+            self.cap_input(Input::RetryRejected { shard: SHARD, worth: 1.0, remaining: SECOND });
         }
         for Shortage { shard, waiting, worth } in self.module.take_shortages() {
             self.waiting = waiting as usize;
             self.max_waiting = self.max_waiting.max(self.waiting);
-            self.cap_input(Input::Waiting { shard: shard.0, waiting, worth });
+            self.cap_input(Input::RetriesWaiting { shard: shard.0, waiting, worth });
         }
-        let Some(allowance) = self.allowances.next_untold() else { return false };
-        let most = self.cap.may_wait(allowance.shard);
+        let Some(allowance) = self.allowances.next_notification() else { return false };
+        let most = self.cap.wait_limit(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
             self.module_input(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
         }
-        self.left = allowance.further;
-        let (shard, further, come_back) = (ShardId(allowance.shard), allowance.further, allowance.come_back);
+        self.left = allowance.retries;
+        let (shard, further, come_back) =
+            (ShardId(allowance.shard), allowance.retries, allowance.retry_after);
         self.module_input(Event::Allowance { shard, further, come_back });
         true
     }
@@ -185,7 +186,7 @@
                     self.left = self.left.saturating_sub(1);
                     self.allowances.spend(SHARD);
                 }
-                self.cap_input(Input::Sent { shard: SHARD, further });
+                self.cap_input(Input::AttemptSent { shard: SHARD, is_retry: further });
                 self.requests.get_mut(&request.0).unwrap().sent = Some(self.now);
                 if !self.is_silent {
                     self.answers.insert((self.now + 1_000, request, node));
@@ -232,7 +233,7 @@
                 self.module_input(Event::Timer(token));
             } else if answer == Some(next) {
                 let (_, request, node) = self.answers.pop_first().unwrap();
-                self.cap_input(Input::Ended { shard: SHARD, served: true, refused: false });
+                self.cap_input(Input::AttemptEnded { shard: SHARD, served: true, refused: false });
                 self.module_input(Event::Answer(Answer {
                     request,
                     attempt: 0,
@@ -289,7 +290,7 @@
 #[test]
 fn no_retry_waits_at_a_recovering_shard() {
     let mut coupled = Coupled::new(0.0);
-    coupled.cap_input(Input::Recovers { shard: SHARD, on: true });
+    coupled.cap_input(Input::NodeTrouble { shard: SHARD, present: true });
     coupled.run_actions();
     (1..=BURST).for_each(|id| coupled.submit(id));
     let waiting = coupled.waiting;
@@ -309,7 +310,7 @@
     let mut coupled = Coupled::new(0.0);
     coupled.is_silent = true;
     (0..60).for_each(|n| coupled.submit(FIRST_NON_RETRY + n));
-    coupled.cap_input(Input::Recovers { shard: SHARD, on: true });
+    coupled.cap_input(Input::NodeTrouble { shard: SHARD, present: true });
     coupled.run_actions();
     let left = coupled.left;
     (1..=BURST).for_each(|id| coupled.submit(id));
@@ -380,9 +381,9 @@
 fn a_shadow_copy_reduces_the_allowance_of_the_module_too() {
     let mut coupled = Coupled::new(0.0);
     // As in the engine's `allows_copy` and `copy_sent`.
-    assert_eq!(coupled.allowances.left(SHARD), Some(4));
-    coupled.allowances.take(SHARD);
-    coupled.cap_input(Input::Sent { shard: SHARD, further: true });
+    assert_eq!(coupled.allowances.remaining(SHARD), Some(4));
+    coupled.allowances.spend_and_notify(SHARD);
+    coupled.cap_input(Input::AttemptSent { shard: SHARD, is_retry: true });
     coupled.run_actions();
     (1..=8).for_each(|id| coupled.submit(id));
     let (sent, ..) =
--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -2,7 +2,7 @@
 
 mod check;
 
-use decisions::{Class, Group, Micros, Plan, Repeats, RetryBudget, Settings};
+use decisions::{Class, DedupScope, Idempotency, Micros, Plan, RetryBudget, Settings};
 use serde::Deserialize;
 
 use crate::service::{ClassName, Service};
@@ -114,14 +114,14 @@
 
 impl WireClass {
     fn class(&self, index: usize) -> Result<Class, ProfileError> {
-        let repeats = match self.idempotency.as_str() {
-            "read_like" => Repeats::Safe,
-            "non_idempotent" => Repeats::Unsafe,
-            "idempotency_key" => Repeats::Keyed {
-                group: match self.group.as_deref() {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    _ => Group::Shard,
+        let idempotency = match self.idempotency.as_str() {
+            "read_like" => Idempotency::Safe,
+            "non_idempotent" => Idempotency::Unsafe,
+            "idempotency_key" => Idempotency::Keyed {
+                scope: match self.group.as_deref() {
+                    Some("all") => DedupScope::All,
+                    Some("zone") => DedupScope::Zone,
+                    _ => DedupScope::Shard,
                 },
                 window: self.key_ttl_us.unwrap_or(0),
             },
@@ -132,7 +132,7 @@
             latency_target_stretch: self.aim_stretch.unwrap_or(0.0),
             worth: self.worth,
             late_worth: self.late_value,
-            repeats,
+            idempotency,
             in_order: self.fifo_by_key.unwrap_or(false),
             stream: self.stream.unwrap_or(false),
         })
@@ -163,8 +163,8 @@
             (_, None, None) => None,
             (window, free, share) => Some(RetryBudget {
                 window: window.unwrap_or(0),
-                free: free.unwrap_or(0.0),
-                share: share.unwrap_or(0.0),
+                base: free.unwrap_or(0.0),
+                per_request: share.unwrap_or(0.0),
             }),
         };
         let classes = self.classes.iter().enumerate().map(|(i, c)| c.class(i));
@@ -173,25 +173,25 @@
             plans: self.policies.iter().map(WirePolicy::plan).collect(),
             hosts: self.peers_total,
             index: self.index,
-            must_ask: self.discovery == "ask",
-            most_attempts: self.policy_limits.send_cap,
-            second_copies: self.policy_limits.may_duplicate,
-            cancel: self.policy_limits.cancel,
-            probes: self.policy_limits.probing,
-            advice: self.policy_limits.retry_after,
-            most_advice: self.policy_limits.max_retry_after_us,
+            needs_subscription: self.discovery == "ask",
+            max_attempts: self.policy_limits.send_cap,
+            hedging: self.policy_limits.may_duplicate,
+            cancellation: self.policy_limits.cancel,
+            probing: self.policy_limits.probing,
+            retry_advice: self.policy_limits.retry_after,
+            max_retry_after: self.policy_limits.max_retry_after_us,
             cold_units: self.family_info.cold_bears.unwrap_or(0.0),
             cold_window: self.rules.fall_us,
-            cold_from: self.rules.cold_from,
+            cold_start_fraction: self.rules.cold_from,
             warm_after: self.rules.warm_up_us,
             drain_grace: self.rules.drain_grace_us,
-            order_rest: self.rules.order_settle_us.unwrap_or(0),
-            budget,
-            most_units: self.family_info.largest.unwrap_or(1.0),
-            mean_units: self.family_info.mean_units.unwrap_or(1.0),
+            key_pause: self.rules.order_settle_us.unwrap_or(0),
+            retry_budget: budget,
+            max_request_units: self.family_info.largest.unwrap_or(1.0),
+            mean_request_units: self.family_info.mean_units.unwrap_or(1.0),
             share_worth: self.family_info.fair_worth.unwrap_or(1.0),
             spare_worth: self.family_info.idle_worth.unwrap_or(1.0),
-            waste_price: self.fees.waste,
+            waste_cost: self.fees.waste,
         })
     }
 
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use peer::{Incarnation, Life, Nonce, PeerName};
-use repeats::message::{Fact, Word};
+use repeats::message::{CapMessage, ShardObservation};
 use repeats::shard::{PEER_RESET_WINDOWS, SINGLE_PEER_WINDOWS};
 use repeats::{Cap, CapOptions, InjectedFault, Input, Micros, Output, Overrides, ShardState};
 
@@ -20,7 +20,7 @@
 }
 
 fn options(i: usize, members: usize) -> CapOptions {
-    CapOptions { warming: 2 * SECOND, ..CapOptions::new(name(i), members, vec![7, 8]) }
+    CapOptions { warm_up: 2 * SECOND, ..CapOptions::new(name(i), members, vec![7, 8]) }
 }
 
 /// Gateways whose messages take 2 ms, unless a gateway is partitioned.
@@ -54,7 +54,7 @@
             retry_delays: Vec::new(),
         };
         for i in 0..members {
-            network.handle_input(i, Input::Peers((0..members).map(name).collect()));
+            network.handle_input(i, Input::PeersChanged((0..members).map(name).collect()));
         }
         network
     }
@@ -71,12 +71,14 @@
                     }
                 }
                 Output::Allow(a) => {
-                    self.allowed[i].insert(a.shard, a.further);
+                    self.allowed[i].insert(a.shard, a.retries);
                     self.allowance_counts[i] += 1;
-                    self.retry_delays.push((i, a.come_back));
+                    self.retry_delays.push((i, a.retry_after));
                 }
-                Output::Entered { state, why, .. } => self.state_changes.push((self.now, i, state, why)),
-                Output::TurnedAway { from, why } => self.rejected_messages.push((i, from, why)),
+                Output::StateChanged { state, reason, .. } => {
+                    self.state_changes.push((self.now, i, state, reason))
+                }
+                Output::MessageRejected { from, reason } => self.rejected_messages.push((i, from, reason)),
             }
         }
     }
@@ -88,9 +90,9 @@
         for n in 0..most {
             if n < sent {
                 *self.allowed[i].entry(shard).or_default() -= 1;
-                self.handle_input(i, Input::Sent { shard, further: true });
+                self.handle_input(i, Input::AttemptSent { shard, is_retry: true });
             } else {
-                self.handle_input(i, Input::Wanted { shard, worth: 1.0, left: SECOND });
+                self.handle_input(i, Input::RetryRejected { shard, worth: 1.0, remaining: SECOND });
             }
         }
         sent
@@ -98,7 +100,7 @@
 
     fn end_attempts(&mut self, i: usize, served: bool, times: usize) {
         for _ in 0..times {
-            self.handle_input(i, Input::Ended { shard: 7, served, refused: !served });
+            self.handle_input(i, Input::AttemptEnded { shard: 7, served, refused: !served });
         }
     }
 
@@ -108,7 +110,7 @@
             self.now += STEP;
             let due: Vec<_> = self.messages.extract_if(.., |n| n.0 <= self.now).collect();
             for (_, from, to, body) in due {
-                self.handle_input(to, Input::Heard { from: name(from), life: life(1), body });
+                self.handle_input(to, Input::MessageReceived { from: name(from), life: life(1), body });
             }
             for i in 0..self.caps.len() {
                 if self.caps[i].next_due() <= self.now {
@@ -127,7 +129,7 @@
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
     network.advance(SECOND / 2);
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 4), (8, 4)]));
-    network.handle_input(0, Input::Renewed(life(2)));
+    network.handle_input(0, Input::LifeRenewed(life(2)));
     assert_eq!(network.allowed[0], BTreeMap::from([(7, 0), (8, 0)]));
 }
 
@@ -207,20 +209,20 @@
     all.dedup();
     assert!(count > 100 && all.len() * 10 > count * 9, "{} of {count} differ", all.len());
     let most = all[all.len() - 1];
-    assert!(most > 5 * SECOND && most <= options(0, 8).most_advice, "{most}");
+    assert!(most > 5 * SECOND && most <= options(0, 8).max_retry_after, "{most}");
 }
 
 #[test]
 fn a_recovering_shard_widens_as_requests_are_served() {
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
-    network.handle_input(0, Input::Recovers { shard: 7, on: true });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: true });
     assert_eq!(network.caps[0].state(7), ShardState::Recovering);
     network.advance(SECOND / 4);
     assert_eq!(network.caps[1].state(7), ShardState::Recovering, "as reported by a peer");
     assert_eq!(network.caps[1].state(8), ShardState::Normal);
     assert_eq!(network.allowed[0][&7], 1, "a quarter of four");
-    network.handle_input(0, Input::Recovers { shard: 7, on: false });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: false });
     network.advance(3 * SECOND);
     assert_eq!(network.caps[0].state(7), ShardState::Recovering, "nothing was served yet");
     for _ in 0..60 {
@@ -250,8 +252,8 @@
 }
 
 fn fact(shard: u32) -> Vec<u8> {
-    let fact = Fact { shard, seen: true, served: 0, bad: 0 };
-    peer::wire::encode(&Word { facts: vec![fact], ..Word::default() })
+    let fact = ShardObservation { shard, seen: true, served: 0, bad: 0 };
+    peer::wire::encode(&CapMessage { facts: vec![fact], ..CapMessage::default() })
 }
 
 /// The part of a minute in which gateway 1 kept the shard in recovering while gateway 0 reported trouble
@@ -262,7 +264,7 @@
     let (mut recovering_part, steps) = (0, 600);
     for _ in 0..steps {
         for i in 1..4 {
-            network.handle_input(i, Input::Heard { from: name(0), life: life(1), body: fact(7) });
+            network.handle_input(i, Input::MessageReceived { from: name(0), life: life(1), body: fact(7) });
             // Few enough that the shard is not considered proven healthy, which would end the recovery.
             network.end_attempts(i, true, 1);
         }
@@ -290,7 +292,7 @@
 fn reports_about_a_shard_that_serves_well_here_are_ignored() {
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
-    network.handle_input(0, Input::Recovers { shard: 7, on: true });
+    network.handle_input(0, Input::NodeTrouble { shard: 7, present: true });
     for _ in 0..120 {
         network.end_attempts(0, true, 10);
         network.advance(100_000);
@@ -302,7 +304,7 @@
 fn requests_unserved_at_a_peer_are_recognized() {
     for (fault, known) in [(None, true), (Some(InjectedFault::SketchForgetsEarly), false)] {
         let mut network = Network::new(3, fault);
-        network.handle_input(0, Input::Unserved { key: 99 });
+        network.handle_input(0, Input::RequestUnserved { key: 99 });
         assert!(network.caps[0].is_repeat(network.now, 99));
         network.advance(SECOND / 4);
         assert!(network.caps[1].is_repeat(network.now, 99) && !network.caps[1].is_repeat(network.now, 98));
@@ -311,9 +313,9 @@
         assert_eq!(at_all, known, "{fault:?}");
         // A client that returns after the longest retry delay is still recognized.
         let options = options(0, 3);
-        network.now += options.most_advice;
+        network.now += options.max_retry_after;
         assert_eq!((0..3).all(|i| network.caps[i].is_repeat(network.now, 99)), known, "{fault:?}");
-        network.now += 2 * options.most_advice;
+        network.now += 2 * options.max_retry_after;
         assert!((0..3).all(|i| !network.caps[i].is_repeat(network.now, 99)));
     }
 }
@@ -325,7 +327,7 @@
     let before = network.allowed.clone();
     for _ in 0..5 {
         for body in [vec![1, 2, 3], vec![0; 20_000], fact(99)] {
-            network.handle_input(0, Input::Heard { from: name(1), life: life(1), body });
+            network.handle_input(0, Input::MessageReceived { from: name(1), life: life(1), body });
         }
     }
     assert_eq!(network.rejected_messages.len(), 3, "{:?}", network.rejected_messages);
@@ -337,12 +339,12 @@
     let mut network = Network::new(3, None);
     network.advance(2 * SECOND);
     for _ in 0..7 {
-        network.handle_input(0, Input::Sent { shard: 7, further: true });
+        network.handle_input(0, Input::AttemptSent { shard: 7, is_retry: true });
     }
     network.allowed[0].insert(7, 0);
     network.end_attempts(0, true, 9);
     assert_eq!(network.allowed[0][&7], 0);
-    let look = network.caps[0].look(network.now);
+    let look = network.caps[0].snapshot(network.now);
     assert_eq!((look[0].shard, look[0].spent), (Some(7), 7.0));
     network.advance(3 * SECOND / 2);
     assert_eq!(network.allowed[0][&7], 4, "a window later it has its base tokens again");
--- a/crates/repeats/tests/rig/steward.rs
+++ b/crates/repeats/tests/rig/steward.rs
@@ -8,7 +8,7 @@
 use peer::Life;
 use repeats::account::Account;
 use repeats::leases::LeaseBook;
-use repeats::message::{Fact, Word};
+use repeats::message::{CapMessage, ShardObservation};
 use repeats::{Allowance, CapOptions, Input, Micros, ONE_TOKEN, Output, RECOVERING_FREE_PART};
 
 use super::gateway::name;
@@ -33,7 +33,7 @@
 
 /// Rendezvous hashing: the member whose hash with the shard is highest.
 fn steward_of(shard: u32, members: usize) -> usize {
-    (0..members).max_by_key(|&m| repeats::key_of(shard, m as u64, 0, 0)).unwrap_or(0)
+    (0..members).max_by_key(|&m| repeats::request_key(shard, m as u64, 0, 0)).unwrap_or(0)
 }
 
 impl Steward {
@@ -57,14 +57,14 @@
             if shard_account.recovers { o.recovering_share } else { o.share }
         };
         match input {
-            Input::Sent { shard, further: true } => {
+            Input::AttemptSent { shard, is_retry: true } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.account.spend(now, ONE_TOKEN);
                     shard_account.need += 1;
                     shard_account.allowed = shard_account.allowed.map(|a| a.saturating_sub(1));
                 }
             }
-            Input::Ended { shard, served: true, .. } => {
+            Input::AttemptEnded { shard, served: true, .. } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.served += 1;
                     if shard_account.steward == self.index {
@@ -74,51 +74,53 @@
                     }
                 }
             }
-            Input::Wanted { shard, .. } => {
+            Input::RetryRejected { shard, .. } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
                     shard_account.need += 1;
                 }
             }
-            Input::Recovers { shard, on } => {
+            Input::NodeTrouble { shard, present } => {
                 if let Some(shard_account) = self.shard_accounts.get_mut(&shard) {
-                    shard_account.recovers = on;
+                    shard_account.recovers = present;
                     let part = self.even.get(&shard).copied().unwrap_or(0) as f64;
-                    shard_account.account.set_base(if on {
+                    shard_account.account.set_base(if present {
                         (part * RECOVERING_FREE_PART) as u64
                     } else {
                         part as u64
                     });
                 }
             }
-            Input::Heard { from, body, .. } => {
-                let Ok(word) = Word::read(&body) else { return };
-                for want in &word.wants {
-                    let Some(shard_account) = want.shard.and_then(|s| self.shard_accounts.get_mut(&s)) else {
+            Input::MessageReceived { from, body, .. } => {
+                let Ok(message) = CapMessage::decode(&body) else { return };
+                for request in &message.wants {
+                    let Some(shard_account) = request.shard.and_then(|s| self.shard_accounts.get_mut(&s))
+                    else {
                         continue;
                     };
-                    let fact = word.facts.iter().find(|f| Some(f.shard) == want.shard);
-                    let more = fact.map_or(0, |f| f.served);
+                    let observation = message.facts.iter().find(|f| Some(f.shard) == request.shard);
+                    let more = observation.map_or(0, |f| f.served);
                     let each = (share(shard_account, &self.options) * ONE_TOKEN as f64) as u64;
                     if shard_account.steward != self.index {
                         continue;
                     }
                     // Requests served since the last report: a lost report loses tokens, a late one
                     // earns them late.
-                    if self.leases.is_new_request(&from, want) {
+                    if self.leases.is_new_request(&from, request) {
                         shard_account.account.earn(now, each * u64::from(more));
                         let grant = self.leases.grant_lease(
                             now,
-                            want,
-                            want.amount,
+                            request,
+                            request.amount,
                             0,
                             shard_account.recovers,
                             &mut shard_account.account,
                         );
-                        let word = Word { grants: grant.into_iter().collect(), ..Word::default() };
-                        out.push(Output::Send { to: from.clone(), body: peer::wire::encode(&word) });
+                        let message =
+                            CapMessage { grants: grant.into_iter().collect(), ..CapMessage::default() };
+                        out.push(Output::Send { to: from.clone(), body: peer::wire::encode(&message) });
                     }
                 }
-                for grant in &word.grants {
+                for grant in &message.grants {
                     if let Some(shard_account) = grant.shard.and_then(|s| self.shard_accounts.get_mut(&s)) {
                         let _ = self.leases.accept_grant(now, &from, grant, &mut shard_account.account);
                     }
@@ -135,8 +137,8 @@
             let target = (shard_account.account.available() / ONE_TOKEN) as u32;
             if shard_account.allowed != Some(target) {
                 shard_account.allowed = Some(target);
-                let come_back = self.options.warming;
-                out.push(Output::Allow(Allowance { shard, further: target, come_back }));
+                let retry_after = self.options.warm_up;
+                out.push(Output::Allow(Allowance { shard, retries: target, retry_after }));
             }
         }
     }
@@ -148,12 +150,13 @@
             shard_account.need = 0;
             if shard_account.steward != self.index {
                 let to = name(shard_account.steward);
-                let want =
+                let request =
                     self.leases.create_request(now, Some(shard), amount, 1.0, std::slice::from_ref(&to));
                 let served = std::mem::take(&mut shard_account.served);
-                let fact = Fact { shard, seen: false, served, bad: 0 };
-                let word = Word { wants: vec![want], facts: vec![fact], ..Word::default() };
-                out.push(Output::Send { to, body: peer::wire::encode(&word) });
+                let observation = ShardObservation { shard, seen: false, served, bad: 0 };
+                let message =
+                    CapMessage { wants: vec![request], facts: vec![observation], ..CapMessage::default() };
+                out.push(Output::Send { to, body: peer::wire::encode(&message) });
             }
         }
     }
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use decisions::{Group, Micros, RetryBudget, Settings, ShardId};
+use decisions::{DedupScope, Micros, RetryBudget, Settings, ShardId};
 use emulator::{ModelOptions, NodeOptions};
 use gateway::{GatewayOptions, NodeConnectionOptions, NodeLine, NodeLineState};
 use load::ClientOptions;
@@ -38,11 +38,11 @@
             latency_target_stretch: 0.0,
             worth: c.worth,
             late_worth: c.late_worth,
-            repeats: match c.repeats {
-                Repeats::Safe => decisions::Repeats::Safe,
-                Repeats::Unsafe => decisions::Repeats::Unsafe,
-                Repeats::Keyed => decisions::Repeats::Keyed {
-                    group: Group::Shard,
+            idempotency: match c.repeats {
+                Repeats::Safe => decisions::Idempotency::Safe,
+                Repeats::Unsafe => decisions::Idempotency::Unsafe,
+                Repeats::Keyed => decisions::Idempotency::Keyed {
+                    scope: DedupScope::Shard,
                     window: micros(c.window_ms.unwrap_or(0)),
                 },
             },
@@ -63,29 +63,29 @@
             plans: self.plan.iter().map(plan).collect(),
             hosts: self.gateway.len() as u32,
             index: index as u32,
-            must_ask: false,
-            most_attempts: r.most_attempts,
-            second_copies: false,
-            cancel: false,
-            probes: false,
-            advice: true,
-            most_advice: micros(r.most_advice_ms),
+            needs_subscription: false,
+            max_attempts: r.most_attempts,
+            hedging: false,
+            cancellation: false,
+            probing: false,
+            retry_advice: true,
+            max_retry_after: micros(r.most_advice_ms),
             cold_units: r.cold_units,
             cold_window: micros(r.cold_window_ms),
-            cold_from: r.cold_from,
+            cold_start_fraction: r.cold_from,
             warm_after: micros(r.warm_after_ms),
             drain_grace: micros(r.drain_grace_ms),
-            order_rest: micros(r.order_rest_ms),
-            budget: r.budget_window_ms.map(|ms| RetryBudget {
+            key_pause: micros(r.order_rest_ms),
+            retry_budget: r.budget_window_ms.map(|ms| RetryBudget {
                 window: micros(ms),
-                free: r.budget_free,
-                share: r.budget_share,
+                base: r.budget_free,
+                per_request: r.budget_share,
             }),
-            most_units: g.most_units,
-            mean_units: g.mean_units,
+            max_request_units: g.most_units,
+            mean_request_units: g.mean_units,
             share_worth: g.share_worth,
             spare_worth: g.spare_worth,
-            waste_price: g.waste_price,
+            waste_cost: g.waste_price,
         }
     }
 
