--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -51,7 +51,7 @@
         now += durations.step;
         cap.handle(now, Input::Tick, &mut out);
     }
-    let left = cap.snapshot(now).first().map_or(0.0, |look| look.left);
+    let left = cap.snapshot(now).first().map_or(0.0, |look| look.available);
     1.0 / left
 }
 
--- a/crates/console/src/fleet.rs
+++ b/crates/console/src/fleet.rs
@@ -50,15 +50,23 @@
     let look = |l: &repeats::ShardSnapshot| {
         let shard = l.shard.map_or("all shards".into(), |s| format!("shard {s}"));
         let state = format!("{:?}", l.state).to_lowercase();
-        let why = if l.state == ShardState::Normal || l.why.is_empty() {
+        let why = if l.state == ShardState::Normal || l.reason.is_empty() {
             String::new()
         } else {
-            format!(" for {}: {}", seconds(l.since), l.why)
+            format!(" for {}: {}", seconds(l.since), l.reason)
         };
         format!(
             "repeats, {shard}: {state}{why}; rights left {:.1}, allowed {}, spent {:.0}, earned {:.0}, lent {:.0}, \
              borrowed {:.0}, waiting {}, held back {} (right not told {})",
-            l.left, l.allowed, l.spent, l.earned, l.lent, l.borrowed, l.waiting, l.held_back, l.not_told
+            l.available,
+            l.allowed,
+            l.spent,
+            l.earned,
+            l.lent,
+            l.borrowed,
+            l.waiting,
+            l.rejected,
+            l.rejected_with_token
         )
     };
     r.shards.iter().map(look).collect()
--- a/crates/crowbay/tests/repeats.rs
+++ b/crates/crowbay/tests/repeats.rs
@@ -40,7 +40,9 @@
     let host = stage.host("g1");
     stage.write_served(&host, 0);
     for gateway in GATEWAYS {
-        stage.until(gateway, "its rights are there", |s| look(s, 0).left >= 2.0 && look(s, 0).allowed >= 2);
+        stage.until(gateway, "its rights are there", |s| {
+            look(s, 0).available >= 2.0 && look(s, 0).allowed >= 2
+        });
     }
     let other = stage.host("g2");
     stage.read(&other, 1).expect("it is served");
@@ -96,7 +98,7 @@
     let mut stage = lit("window_ms = 5000\nfree = 30.0\nfleet_free = 60.0");
     let host = stage.host("g1");
     stage.write_served(&host, 0);
-    stage.until("g1", "its rights are there", |s| look(s, 0).left >= 2.0 && look(s, 0).allowed >= 2);
+    stage.until("g1", "its rights are there", |s| look(s, 0).available >= 2.0 && look(s, 0).allowed >= 2);
     stage.order("g1", "node0", What::Hold(Side::Back));
     assert!(stage.read(&host, 0).is_err(), "no answer comes");
     stage.order("g1", "node0", What::Release(Side::Back));
@@ -115,7 +117,7 @@
     let mut stage = lit("window_ms = 5000\nfree = 30.0\nfleet_free = 60.0");
     let (host, other) = (stage.host("g1"), stage.host_named("g1", "nqn.2026-12.example:host2"));
     stage.write_served(&host, 0);
-    stage.until("g1", "its rights are there", |s| look(s, 0).left >= 2.0 && look(s, 0).allowed >= 2);
+    stage.until("g1", "its rights are there", |s| look(s, 0).available >= 2.0 && look(s, 0).allowed >= 2);
     stage.order("g1", "node0", What::Hold(Side::Back));
     assert!(stage.read(&host, 0).is_err(), "no answer comes");
     stage.order("g1", "node0", What::Release(Side::Back));
--- a/crates/crowbay/tests/rights.rs
+++ b/crates/crowbay/tests/rights.rs
@@ -111,7 +111,7 @@
         stage.until("g1", "their answers have come", |s| s.nodes[0].out == 0);
     }
     stage.until("g1", "what they earned is gone", |s| {
-        (look(s).left, look(s).allowed, look(s).state) == (f64::from(EVEN), EVEN, ShardState::Normal)
+        (look(s).available, look(s).allowed, look(s).state) == (f64::from(EVEN), EVEN, ShardState::Normal)
     });
 }
 
@@ -141,7 +141,7 @@
     let host = stage.host("g1");
     stage.until("g1", "a slice begins", |s| s.now % SLICE < SLICE / 8);
     serve(&mut stage, &host, REPEATS * READS);
-    stage.until("g1", "rights for all are there", |s| look(s).left >= REPEATS as f64);
+    stage.until("g1", "rights for all are there", |s| look(s).available >= REPEATS as f64);
     let before = (Instant::now(), stage.status("g1"));
     let repeats = send(&mut stage, &host, 0..REPEATS);
     let repeats = answers(&stage, repeats);
--- a/crates/lab/examples/together.rs
+++ b/crates/lab/examples/together.rs
@@ -80,7 +80,7 @@
             let shard = look.shard.map_or("all shards".into(), |shard| format!("shard {shard}"));
             println!(
                 "{shard}, all rounds: {} sends with a right, {} refused for want of one, {} of these while there was one",
-                look.spent, look.held_back, look.not_told
+                look.spent, look.rejected, look.rejected_with_token
             );
         }
         println!("not served, by reason: {:?}", status.causes);
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -349,41 +349,41 @@
                 shard,
                 state: ShardState::Normal,
                 since: 0,
-                why: String::new(),
-                left: whole_tokens(account.available()),
+                reason: String::new(),
+                available: whole_tokens(account.available()),
                 allowed: 0,
                 retry_after: 0,
                 lent: whole_tokens(totals.lent),
                 borrowed: whole_tokens(totals.borrowed),
                 earned: whole_tokens(totals.earned),
                 spent: whole_tokens(totals.spent),
-                held_back: 0,
-                not_told: 0,
+                rejected: 0,
+                rejected_with_token: 0,
                 waiting: 0,
             }
         };
         let mut fleet = account_snapshot(&self.fleet, None);
         let mut snapshots = Vec::with_capacity(self.shard_caps.len() + 1);
         for shard_cap in self.shard_caps.values() {
-            let (state, since, why) = shard_cap.health.state();
-            let (allowed, held_back) = (shard_cap.allowed.unwrap_or(0), shard_cap.held_back);
+            let (state, since, reason) = shard_cap.health.state();
+            let (allowed, rejected) = (shard_cap.allowed.unwrap_or(0), shard_cap.rejected);
             let one = ShardSnapshot {
                 state,
                 since: now - since,
-                why: why.into(),
+                reason: reason.into(),
                 allowed,
-                held_back,
+                rejected,
                 ..account_snapshot(&shard_cap.account, Some(shard_cap.shard))
             };
-            let (retry_after, not_told, waiting) =
-                (shard_cap.retry_after, shard_cap.not_told, shard_cap.waiting);
-            let one = ShardSnapshot { retry_after, not_told, waiting, ..one };
-            if matches!(state, ShardState::Recovering) || fleet.why.is_empty() {
-                (fleet.state, fleet.since, fleet.why) = (state, one.since, one.why.clone());
+            let (retry_after, rejected_with_token, waiting) =
+                (shard_cap.retry_after, shard_cap.rejected_with_token, shard_cap.waiting);
+            let one = ShardSnapshot { retry_after, rejected_with_token, waiting, ..one };
+            if matches!(state, ShardState::Recovering) || fleet.reason.is_empty() {
+                (fleet.state, fleet.since, fleet.reason) = (state, one.since, one.reason.clone());
             }
             fleet.allowed += allowed;
-            fleet.held_back += held_back;
-            fleet.not_told += not_told;
+            fleet.rejected += rejected;
+            fleet.rejected_with_token += rejected_with_token;
             fleet.waiting += waiting;
             snapshots.push(one);
         }
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -44,13 +44,13 @@
 
     pub(crate) fn record_rejected(&mut self, now: Micros, shard: u32, worth: f64, remaining: Micros) {
         let Some(shard_cap) = self.shard_caps.get_mut(&shard) else { return };
-        shard_cap.held_back += 1;
-        if shard_cap.held_back.is_multiple_of(REJECTIONS_PER_DELAY) {
+        shard_cap.rejected += 1;
+        if shard_cap.rejected.is_multiple_of(REJECTIONS_PER_DELAY) {
             shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
             shard_cap.notified_at = Micros::MIN;
         }
         if shard_cap.own_tokens() > 0 && self.fleet.available() >= ONE_TOKEN {
-            shard_cap.not_told += 1;
+            shard_cap.rejected_with_token += 1;
         }
         // A request without the time left for a lease to arrive is rejected in any case, so it adds no
         // demand.
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -54,9 +54,9 @@
     /// The highest worth among recently rejected requests, and since when no retry has been allowed.
     pub(crate) highest_worth: f64,
     pub(crate) none_allowed_since: Option<Micros>,
-    pub(crate) held_back: u64,
+    pub(crate) rejected: u64,
     /// Rejected requests for which there was a token that the scheduler had not been notified of.
-    pub(crate) not_told: u64,
+    pub(crate) rejected_with_token: u64,
     /// Requests that wait in the scheduler for a token, and since when at least one has been waiting.
     pub(crate) waiting: u32,
     pub(crate) waiting_since: Option<Micros>,
@@ -84,8 +84,8 @@
             retry_after: 0,
             highest_worth: 0.0,
             none_allowed_since: None,
-            held_back: 0,
-            not_told: 0,
+            rejected: 0,
+            rejected_with_token: 0,
             waiting: 0,
             waiting_since: None,
             wait_limit: 0,
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -16,9 +16,11 @@
     /// How long it has been in that state, microseconds.
     pub since: Micros,
     /// Why it entered that state.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Tokens available now.
-    pub left: f64,
+    #[serde(rename = "left")]
+    pub available: f64,
     /// Retries that the scheduler may send now.
     pub allowed: u32,
     /// The retry delay advised to rejected requests, microseconds.
@@ -33,10 +35,11 @@
     /// Tokens spent on retries.
     pub spent: f64,
     /// Requests rejected for lack of a token.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub rejected: u64,
     /// Rejected requests for which there was a token that the scheduler had not been notified of.
-    #[serde(default)]
-    pub not_told: u64,
+    #[serde(default, rename = "not_told")]
+    pub rejected_with_token: u64,
     /// Requests that wait for a token now.
     #[serde(default)]
     pub waiting: u32,
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -106,7 +106,8 @@
 
     /// How many retries the scheduler may send beyond the tokens in the accounts.
     fn excess(&self) -> u32 {
-        let least = self.cap.snapshot(self.now).iter().map(|look| look.left as u32).min().unwrap_or(0);
+        let least =
+            self.cap.snapshot(self.now).iter().map(|snapshot| snapshot.available as u32).min().unwrap_or(0);
         self.scheduler.saturating_sub(least)
     }
 }
--- a/crates/repeats/tests/cap.rs
+++ b/crates/repeats/tests/cap.rs
@@ -344,8 +344,8 @@
     network.allowed[0].insert(7, 0);
     network.end_attempts(0, true, 9);
     assert_eq!(network.allowed[0][&7], 0);
-    let look = network.caps[0].snapshot(network.now);
-    assert_eq!((look[0].shard, look[0].spent), (Some(7), 7.0));
+    let snapshot = network.caps[0].snapshot(network.now);
+    assert_eq!((snapshot[0].shard, snapshot[0].spent), (Some(7), 7.0));
     network.advance(3 * SECOND / 2);
     assert_eq!(network.allowed[0][&7], 4, "a window later it has its base tokens again");
 }
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -80,7 +80,11 @@
     }
 
     fn left(&self, shard: Option<u32>) -> u32 {
-        self.cap.snapshot(self.now).iter().find(|look| look.shard == shard).map_or(0, |look| look.left as u32)
+        self.cap
+            .snapshot(self.now)
+            .iter()
+            .find(|snapshot| snapshot.shard == shard)
+            .map_or(0, |snapshot| snapshot.available as u32)
     }
 
     fn total_allowed(&self) -> u32 {
--- a/crates/repeats/tests/telling.rs
+++ b/crates/repeats/tests/telling.rs
@@ -89,8 +89,8 @@
 
     /// Whole tokens of a shard's account, or of the fleet account.
     fn left(&self, shard: Option<u32>) -> u64 {
-        let looks = self.cap.snapshot(self.now);
-        looks.iter().find(|look| look.shard == shard).expect("an account").left as u64
+        let snapshots = self.cap.snapshot(self.now);
+        snapshots.iter().find(|snapshot| snapshot.shard == shard).expect("an account").available as u64
     }
 
     /// Compares the allowances with the accounts; `handled` is set right after the cap has handled an
