--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -157,7 +157,7 @@
             && matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
             && let Some(order) = open.request.key.and_then(|k| self.state.key_orders.get_mut(&k))
         {
-            order.paused_until = order.paused_until.max(self.state.now + self.settings.order_rest);
+            order.paused_until = order.paused_until.max(self.state.now + self.settings.key_pause);
         }
     }
 
@@ -167,12 +167,13 @@
         let Some(open) = self.state.requests.get(&id).filter(|o| !o.finished) else { return };
         let retry_after = self.state.awaited_tokens(open).map_or(retry_after, |tokens| tokens.retry_after);
         let class = &self.settings.classes[open.request.class];
-        let retry_is_harmless =
-            matches!(class.repeats, Repeats::Safe | Repeats::Keyed { group: Group::All, .. })
-                || open.uncertain_attempts().next().is_none();
+        let retry_is_harmless = matches!(
+            class.idempotency,
+            Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. }
+        ) || open.uncertain_attempts().next().is_none();
         if retry_is_harmless {
-            let advised = retry_after.max(class.aim / 4).min(self.settings.most_advice);
-            let come_back = if self.settings.advice { advised } else { 0 };
+            let advised = retry_after.max(class.latency_target / 4).min(self.settings.max_retry_after);
+            let come_back = if self.settings.retry_advice { advised } else { 0 };
             self.state.actions.push(Action::Refuse { request: id, come_back });
         } else {
             self.state.actions.push(Action::Fail { request: id });
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -56,7 +56,7 @@
         if self.state.started_at.is_none() {
             self.state.started_at = Some(self.state.now);
             self.state.wakes.insert((self.state.now + SWEEP_INTERVAL, Wake::Sweep));
-            if self.settings.must_ask {
+            if self.settings.needs_subscription {
                 self.state.actions.push(Action::Subscribe);
             }
         }
@@ -147,7 +147,7 @@
 
     fn on_request(&mut self, request: Request) {
         let now = self.state.now;
-        if self.settings.budget.is_some() {
+        if self.settings.retry_budget.is_some() {
             self.state.request_times.push_back(now);
         }
         let id = request.id;
@@ -193,10 +193,10 @@
                 capacity: plan.limit_burst / hosts,
             }),
             reserve: TokenBucket {
-                level: plan.reserve + self.settings.most_units,
+                level: plan.reserve + self.settings.max_request_units,
                 updated_at: now,
                 rate: plan.reserve / hosts.sqrt(),
-                capacity: plan.reserve / hosts.sqrt() + self.settings.most_units,
+                capacity: plan.reserve / hosts.sqrt() + self.settings.max_request_units,
             },
             last_request: now,
             metered_use: 0.0,
@@ -211,7 +211,7 @@
     /// Sets a request's time limits, taking over the due time of an earlier try that ended unserved.
     fn open_request(&mut self, request: Request) -> OpenRequest {
         let now = self.state.now;
-        let latency_target = self.settings.classes[request.class].aim;
+        let latency_target = self.settings.classes[request.class].latency_target;
         let (own_due, deadline) = (now + latency_target, now + request.patience);
         // Impatient clients retry a request many times. All tries share one worth, and the latency target
         // runs from the first try: a retry is due when the try before it was, so that it counts as late in
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -4,8 +4,8 @@
 use common::*;
 use decisions::*;
 
-fn keyed(group: Group) -> Repeats {
-    Repeats::Keyed { group, window: SECOND / 2 }
+fn keyed(scope: DedupScope) -> Idempotency {
+    Idempotency::Keyed { scope, window: SECOND / 2 }
 }
 
 #[test]
@@ -33,7 +33,7 @@
 fn a_refusal_carries_advice_only_where_allowed() {
     for advice in [true, false] {
         let mut host_settings = settings();
-        host_settings.advice = advice;
+        host_settings.retry_advice = advice;
         let mut host = Host::new(host_settings);
         host.submit(request(1));
         host.advance(2 * SECOND);
@@ -44,7 +44,7 @@
 #[test]
 fn an_unsafe_request_is_retried_after_full_but_never_after_an_error() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Unsafe)];
+    host_settings.classes = vec![class(Idempotency::Unsafe)];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     host.submit(request(1));
     host.answer(1, 0, Outcome::Error);
@@ -59,7 +59,7 @@
 #[test]
 fn a_keyed_request_is_retried_within_its_shard_and_window_only() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(keyed(Group::Shard))];
+    host_settings.classes = vec![class(keyed(DedupScope::Shard))];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     host.submit(request(1));
     host.advance(100_000);
@@ -75,7 +75,7 @@
 #[test]
 fn a_keyed_new_object_stays_in_its_group_once_it_may_have_run() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(keyed(Group::Shard))];
+    host_settings.classes = vec![class(keyed(DedupScope::Shard))];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0), entry(1, 1)]);
     let mut r = request(1);
     r.shard = None;
@@ -109,7 +109,7 @@
 #[test]
 fn a_failed_node_list_request_keeps_the_list_and_is_retried() {
     let mut host_settings = settings();
-    host_settings.must_ask = true;
+    host_settings.needs_subscription = true;
     let mut host = Host::new(host_settings);
     let first = host.update_nodes(true, &[entry(0, 0)]);
     assert!(first.contains(&Action::Subscribe));
@@ -143,7 +143,7 @@
 #[test]
 fn a_host_that_just_started_sends_nothing_to_a_cold_node_for_a_window() {
     let mut host_settings = settings();
-    host_settings.classes[0].aim = 4 * SECOND;
+    host_settings.classes[0].latency_target = 4 * SECOND;
     let mut host = Host::at(host_settings, 50 * SECOND);
     let mut cold = entry(0, 0);
     cold.started = Some(49 * SECOND);
@@ -161,8 +161,8 @@
 fn requests_of_one_key_run_in_order_and_the_key_pauses_after_a_reset() {
     let mut host_settings = settings();
     host_settings.classes[0].in_order = true;
-    host_settings.classes[0].aim = 5 * SECOND;
-    host_settings.most_attempts = 1;
+    host_settings.classes[0].latency_target = 5 * SECOND;
+    host_settings.max_attempts = 1;
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 1..4 {
         let mut r = request(id);
@@ -184,7 +184,7 @@
 #[test]
 fn retries_stay_within_the_budget() {
     let mut host_settings = settings();
-    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 2.0, share: 0.0 });
+    host_settings.retry_budget = Some(RetryBudget { window: 5 * SECOND, base: 2.0, per_request: 0.0 });
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     for id in 0..5 {
         host.submit(request(id));
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -17,12 +17,12 @@
 
 use bytes::Bytes;
 use decisions::{NodeId, NodeState};
-use limits::Turns;
+use limits::FairQueue;
 use may::sync::mpsc::Receiver;
 use nvme::{Admission, IoCommand};
 use records::Clock;
 use recovery::InHand;
-use storage_core::{Core, Effect, Micros, Ticket};
+use storage_core::{Core, Effect, Micros, OperationId};
 
 use crate::connection::{Connection, ConnectionId};
 use crate::control_plane::ControlPlane;
@@ -51,7 +51,7 @@
     connection: Arc<Connection>,
     admission: Option<Admission>,
     host: Arc<str>,
-    tickets: HashMap<u16, Ticket>,
+    operation_ids: HashMap<u16, OperationId>,
 }
 
 /// A command that the core has accepted.
@@ -81,10 +81,10 @@
     front_end: Arc<FrontEnd>,
     inbox: Inbox,
     clients: HashMap<ConnectionId, Client>,
-    accepted: HashMap<Ticket, AcceptedCommand>,
+    accepted: HashMap<OperationId, AcceptedCommand>,
     /// Commands waiting for their host's turn; none of them has been submitted to the core.
-    host_queues: Turns<Arc<str>, (ConnectionId, IoCommand)>,
-    next_ticket: u64,
+    host_queues: FairQueue<Arc<str>, (ConnectionId, IoCommand)>,
+    next_operation_id: u64,
     node_connections: HashMap<NodeId, Arc<NodeConnection>>,
     effects: Vec<Effect>,
     /// The operators' orders in force: revision, volumes on hold, everything paused.
@@ -100,7 +100,7 @@
     recovery: Option<RecoveryDriver>,
     coordination: Option<Coordination>,
     /// Reads issued to settle writes that were in progress before the restart.
-    settling_reads: HashMap<Ticket, InHand>,
+    settling_reads: HashMap<OperationId, InHand>,
     /// Start times of nodes as listed.
     node_starts: HashMap<NodeId, Micros>,
     /// States of nodes as listed and ordered, regardless of drains by the control plane.
@@ -129,8 +129,8 @@
             inbox,
             clients: HashMap::new(),
             accepted: HashMap::new(),
-            host_queues: Turns::new(HOST_QUANTUM_BLOCKS),
-            next_ticket: 0,
+            host_queues: FairQueue::new(HOST_QUANTUM_BLOCKS),
+            next_operation_id: 0,
             node_connections: HashMap::new(),
             effects: Vec::new(),
             revision: 0,
@@ -185,7 +185,7 @@
             let due = due.min(self.recovery.as_ref().map_or(Micros::MAX, RecoveryDriver::next_due));
             let due = due.min(self.coordination.as_ref().map_or(Micros::MAX, |c| c.next_due(now)));
             if due != ticker_due {
-                ticker.due(due);
+                ticker.set_due(due);
                 ticker_due = due;
             }
             if self.host_queues.is_empty() {
@@ -217,8 +217,8 @@
             Message::JournalSynced { sequences, error } => self.on_journal_synced(now, sequences, error),
             Message::PeerEvent(event) => self.on_peer_event(now, event),
             Message::Opened(connection) => {
-                let (tickets, host) = (HashMap::new(), Arc::from(""));
-                let client = Client { admission: None, tickets, host, connection: connection.clone() };
+                let (operation_ids, host) = (HashMap::new(), Arc::from(""));
+                let client = Client { admission: None, operation_ids, host, connection: connection.clone() };
                 self.clients.insert(connection.id, client);
             }
             Message::Bound(id, admission, host) => {
@@ -258,14 +258,14 @@
 
     fn housekeeping(&mut self, now: Micros) {
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
-        let overdue = self.front_end.gate().overdue(now);
+        let overdue = self.front_end.client_limits().remove_overdue(now);
         overdue.into_iter().for_each(|id| self.evict(id, "it took longer than limits.way_up_ms"));
         let expired = self.front_end.target().expire(now);
         for cntlid in expired {
             tracing::info!(cntlid, "a host was silent for its keep alive time-out");
             self.end_association(cntlid);
         }
-        for node in self.core.forget_gone() {
+        for node in self.core.remove_gone_nodes() {
             self.ordered_states.remove(&node);
             if let Some(connection) = self.node_connections.remove(&node) {
                 connection.close();
@@ -289,7 +289,8 @@
         let views = self.core.node_views();
         self.node_connections.retain(|id, connection| {
             connection.check_timeouts();
-            let is_over = views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.out == 0);
+            let is_over =
+                views.get(id).is_none_or(|view| view.state == NodeState::Gone && view.in_flight == 0);
             if is_over {
                 connection.close();
             }
@@ -300,7 +301,7 @@
     fn begin_stop(&mut self, now: Micros) {
         if self.stop_deadline.is_none() {
             tracing::info!(open = self.core.open_operations(), "stopping; no new requests are accepted");
-            self.stop_deadline = Some(now + self.options.stop_within.as_micros() as Micros);
+            self.stop_deadline = Some(now + self.options.stop_timeout.as_micros() as Micros);
             self.front_end.closing.store(true, Ordering::Relaxed);
             if let Some(coordination) = &mut self.coordination {
                 coordination.begin_leaving(now);
@@ -317,7 +318,7 @@
                 open = self.core.open_operations(),
                 "stop timeout reached; answering all open requests now"
             );
-            self.core.end_all(now, &mut self.effects);
+            self.core.answer_all_open(now, &mut self.effects);
             self.apply_effects(now);
         }
         let is_announcing =
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use decisions::NodeId;
 use nvme::{Completion, Status as NvmeStatus, StatusCode};
-use storage_core::{Answer, AttemptId, Effect, End, Micros, Opcode, Send, Ticket};
+use storage_core::{Answer, AttemptEnd, AttemptId, Effect, Micros, Opcode, OperationId, OutgoingAttempt};
 
 use super::Engine;
 use crate::completion::completion_of;
@@ -16,11 +16,13 @@
             for effect in std::mem::take(&mut self.effects) {
                 match effect {
                     Effect::Send(send) => self.send(now, send),
-                    Effect::Forget(attempt, node) => self.forget_attempt(now, attempt, node),
-                    Effect::Answer(ticket, answer) if self.settling_reads.contains_key(&ticket) => {
-                        self.finish_settling_read(now, ticket, &answer);
+                    Effect::Abandon(attempt, node) => self.forget_attempt(now, attempt, node),
+                    Effect::Answer(operation_id, answer)
+                        if self.settling_reads.contains_key(&operation_id) =>
+                    {
+                        self.finish_settling_read(now, operation_id, &answer);
                     }
-                    Effect::Answer(ticket, answer) => self.answer_command(now, ticket, answer),
+                    Effect::Answer(operation_id, answer) => self.answer_command(now, operation_id, answer),
                     Effect::Subscribe => {}
                     Effect::Log(line) => tracing::info!("{line}"),
                 }
@@ -40,16 +42,16 @@
     }
 
     /// Passes the answer of a settling read to the recovery.
-    fn finish_settling_read(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
-        if let Some(write) = self.settling_reads.remove(&ticket) {
+    fn finish_settling_read(&mut self, now: Micros, operation_id: OperationId, answer: &Answer) {
+        if let Some(write) = self.settling_reads.remove(&operation_id) {
             let data = if let Answer::Served(data) = answer { Some(&data[..]) } else { None };
             self.with_recovery(now, |r, actions| r.on_read_back(now, &write, data, actions));
         }
     }
 
     /// Answers a client's command with the core's final answer.
-    fn answer_command(&mut self, now: Micros, ticket: Ticket, answer: Answer) {
-        let accepted = self.accepted.get(&ticket);
+    fn answer_command(&mut self, now: Micros, operation_id: OperationId, answer: Answer) {
+        let accepted = self.accepted.get(&operation_id);
         let identity = accepted.and_then(|t| t.identity).filter(|_| !matches!(answer, Answer::Served(_)));
         let expected = accepted.and_then(|t| t.expected.as_ref());
         let completion = match (&answer, expected) {
@@ -57,13 +59,13 @@
             _ => completion_of(answer, &self.options.target.retry_delays),
         };
         if let Some(identity) = identity {
-            self.report_unserved(now, identity, self.was_any_attempt_sent(ticket));
+            self.report_unserved(now, identity, self.was_any_attempt_sent(operation_id));
         }
-        self.complete_command(ticket, completion);
+        self.complete_command(operation_id, completion);
     }
 
     /// Sends an attempt; a write goes to the journal first, if one is kept.
-    pub(super) fn send(&mut self, now: Micros, send: Send) {
+    pub(super) fn send(&mut self, now: Micros, send: OutgoingAttempt) {
         self.report_attempt_sent(now, &send);
         if send.opcode == Opcode::Write
             && let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal)
@@ -94,16 +96,20 @@
             if error.is_none() {
                 self.send_to_node(now, send);
             } else {
-                self.on_attempt_ended(now, send.attempt, End::of(decisions::Outcome::NotSent));
+                self.on_attempt_ended(
+                    now,
+                    send.attempt,
+                    AttemptEnd::without_data(decisions::Outcome::NotSent),
+                );
             }
         }
     }
 
-    pub(super) fn send_to_node(&mut self, now: Micros, send: Send) {
+    pub(super) fn send_to_node(&mut self, now: Micros, send: OutgoingAttempt) {
         let attempt = send.attempt;
         let end = match self.node_connections.get(&send.node) {
             Some(connection) => connection.send(send, &mut self.dirty_outlets),
-            None => Some(End::of(decisions::Outcome::Unreachable)),
+            None => Some(AttemptEnd::without_data(decisions::Outcome::Unreachable)),
         };
         if let Some(end) = end {
             self.on_attempt_ended(now, attempt, end);
@@ -111,12 +117,12 @@
     }
 
     /// Handles the end of an attempt, reported by its node connection or known because it was never sent.
-    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: End) {
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, end: AttemptEnd) {
         if let Some(journal) = self.recovery.as_mut().and_then(RecoveryDriver::journal) {
             journal.attempt_ended(now, attempt, end.outcome);
         }
         self.report_attempt_ended(now, attempt, &end);
-        self.core.ended(now, attempt, end, &mut self.effects);
+        self.core.attempt_ended(now, attempt, end, &mut self.effects);
     }
 }
 
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use decisions::{NodeId, NodeState};
 use recovery::{Place, Word};
-use storage_core::{ListedNode, Micros, Opcode, Operation, Ticket};
+use storage_core::{ListedNode, Micros, Opcode, Operation, OperationId};
 
 use super::Engine;
 use crate::node_connection::NodeConnection;
@@ -13,7 +13,13 @@
 use crate::recovery_driver::{EngineAction, RecoveryDriver};
 
 impl Engine {
-    pub(super) fn apply_node_list(&mut self, now: Micros, whole: bool, remembered: bool, lines: &[NodeLine]) {
+    pub(super) fn apply_node_list(
+        &mut self,
+        now: Micros,
+        replace_all: bool,
+        remembered: bool,
+        lines: &[NodeLine],
+    ) {
         let mut listed = Vec::with_capacity(lines.len());
         for line in lines {
             let node = self.core.node_id(&line.name);
@@ -34,7 +40,7 @@
                 },
             });
         }
-        self.core.nodes(now, whole, remembered, &listed, &mut self.effects);
+        self.core.update_nodes(now, replace_all, remembered, &listed, &mut self.effects);
     }
 
     pub(super) fn with_recovery(
@@ -50,12 +56,12 @@
                 EngineAction::AdoptOrders(state) => self.adopt_orders(now, &state),
                 EngineAction::TreatNodesAsCold => self.restate_nodes(now, |_| None),
                 EngineAction::ReadBack(write) => {
-                    self.next_ticket += 1;
-                    let ticket = Ticket(self.next_ticket);
+                    self.next_operation_id += 1;
+                    let operation_id = OperationId(self.next_operation_id);
                     let Place { nsid, slba, blocks, .. } = write.place;
-                    self.settling_reads.insert(ticket, write);
+                    self.settling_reads.insert(operation_id, write);
                     let read = Operation {
-                        ticket,
+                        id: operation_id,
                         opcode: Opcode::Read,
                         nsid,
                         slba,
@@ -109,7 +115,7 @@
                 started: self.recovery.as_ref().map_or(n.started, |r| r.effective_start(n.started)),
             });
         }
-        self.core.nodes(now, false, false, &listed, &mut self.effects);
+        self.core.update_nodes(now, false, false, &listed, &mut self.effects);
     }
 
     pub(super) fn connect_node(&mut self, node: NodeId, line: &NodeLine) {
@@ -124,7 +130,8 @@
         host_id[..8].copy_from_slice(&self.options.seed.to_le_bytes());
         host_id[8] = 1;
         let inbox = self.inbox.clone();
-        match NodeConnection::start(line.address, self.options.link.clone(), host, host_id, inbox) {
+        match NodeConnection::start(line.address, self.options.node_connection.clone(), host, host_id, inbox)
+        {
             Ok(connection) => {
                 self.node_connections.insert(node, connection);
             }
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -13,7 +13,7 @@
     Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardSnapshot, ShardState,
     host_request_key, request_key,
 };
-use storage_core::{AttemptId, Micros, Send, Shortage, Wanted};
+use storage_core::{AttemptId, Micros, OutgoingAttempt, RetryDemand, Shortage};
 
 use crate::peer_network::PeerNetwork;
 
@@ -104,12 +104,12 @@
     }
 
     /// An attempt is about to be sent.
-    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &Send) {
+    pub(crate) fn attempt_sent(&mut self, now: Micros, send: &OutgoingAttempt) {
         self.attempts.insert(send.attempt, send.shard.0);
-        if send.further {
+        if send.is_retry {
             self.allowances.spend(send.shard.0);
         }
-        self.handle(now, Input::AttemptSent { shard: send.shard.0, is_retry: send.further });
+        self.handle(now, Input::AttemptSent { shard: send.shard.0, is_retry: send.is_retry });
     }
 
     /// Whether a shadow copy may be sent to a shard: only beside normal traffic, and with a retry token of
@@ -151,8 +151,8 @@
     }
 
     /// A part was refused for lack of retry tokens.
-    pub(crate) fn tokens_wanted(&mut self, now: Micros, wanted: Wanted) {
-        let Wanted { shard, worth, left } = wanted;
+    pub(crate) fn tokens_wanted(&mut self, now: Micros, demand: RetryDemand) {
+        let RetryDemand { shard, worth, remaining_time: left } = demand;
         self.handle(now, Input::RetryRejected { shard: shard.0, worth, remaining: left });
     }
 
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -21,7 +21,7 @@
     /// Members by name, including this gateway.
     pub members: Vec<MemberStatus>,
     /// Nodes of which something is known, by name.
-    pub nodes: Vec<NodeFactStatus>,
+    pub nodes: Vec<FleetNodeStatus>,
     /// Notes sent in this life.
     pub notes_out: u64,
     /// Bytes of the notes sent in this life.
@@ -31,9 +31,11 @@
     /// Suspicions of this gateway that it refuted.
     pub refutations: u64,
     /// Messages from members that were rejected.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_messages: u64,
     /// How often this gateway found that its own process had been suspended.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub suspensions: u64,
 }
 
 /// A member of the fleet.
@@ -59,7 +61,7 @@
 
 /// What the fleet knows of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeFactStatus {
+pub struct FleetNodeStatus {
     /// Its name.
     pub node: String,
     /// The latest start that any gateway has seen.
@@ -82,7 +84,7 @@
             cap: m.holding.cap,
             candidate: m.holding.candidate,
         };
-        let node = |n: &fleet::NodeFact| NodeFactStatus {
+        let node = |n: &fleet::NodeFact| FleetNodeStatus {
             node: n.node.clone(),
             started: n.started,
             cold_for: n.cold_for,
@@ -99,15 +101,15 @@
             bytes_out: counts.bytes_out,
             standings: counts.standings,
             refutations: counts.refutations,
-            turned_away: counts.turned_away,
-            late: counts.late,
+            rejected_messages: counts.turned_away,
+            suspensions: counts.late,
         }
     }
 }
 
 /// The retry cap as this gateway holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RepeatsStatus {
+pub struct RetryCapStatus {
     /// Each shard; the last entry, without a number, is the total.
     pub shards: Vec<ShardSnapshot>,
     /// Totals of this life.
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -40,7 +40,7 @@
         if let Some((attempt, outcome, answer)) = update.finished {
             self.attempt_ended(now, attempt, outcome, answer.as_ref());
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     /// Starts an attempt on an available connection if the attempt is still valid; if not, the next one that
@@ -57,7 +57,7 @@
                 // A connection that its node closed right after establishing it would be reopened again and
                 // again if it were treated as a stale idle one. Its end is reported instead.
                 Some(bytes) if fresh => self.outputs.push(Output::Write(SocketId::Node(connection), bytes)),
-                Some(bytes) => self.outputs.push(Output::Reuse(SocketId::Node(connection), bytes)),
+                Some(bytes) => self.outputs.push(Output::WriteIfIdle(SocketId::Node(connection), bytes)),
                 None => {
                     invalid.push(attempt);
                     next = self.connections.start_declined(now, connection);
@@ -71,7 +71,7 @@
 
     /// Returns the bytes of an attempt that starts now; none if it is no longer valid.
     fn encode_attempt(&mut self, now: Micros, attempt: AttemptId) -> Option<Bytes> {
-        let (node, due) = self.dispatcher.begin(now, attempt)?;
+        let (node, due) = self.dispatcher.begin_write(now, attempt)?;
         let pending = self.dispatcher.payload(attempt.request)?;
         let host = self.nodes.get(&node).map_or_else(String::new, |a| a.address.to_string());
         Some(pending.admitted.forward(&host, due - now))
@@ -80,12 +80,12 @@
     /// Withdraws attempts that wait for a connection and are no longer valid.
     pub(super) fn withdraw_invalid_attempts(&mut self, now: Micros) {
         for attempt in self.connections.waiting_attempts() {
-            if !self.dispatcher.stands(now, attempt) {
+            if !self.dispatcher.is_still_valid(now, attempt) {
                 self.connections.forget_attempt(attempt);
                 self.attempt_ended(now, attempt, Outcome::NotSent, None);
             }
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     pub(super) fn attempt_ended(
@@ -95,28 +95,28 @@
         outcome: Outcome,
         answer: Option<&http1::Answer>,
     ) {
-        let load = answer.and_then(load_of);
+        let load = answer.and_then(reported_load);
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
             pending.attempts.ended(now, attempt.n, outcome);
         }
-        if let Some(pending) = self.dispatcher.ended(now, attempt, outcome, load) {
+        if let Some(pending) = self.dispatcher.attempt_ended(now, attempt, outcome, load) {
             let body = answer.map(|a| a.body.clone()).unwrap_or_default();
             pending.log_if_overdue(now);
             self.send_final_response(now, &pending, 200, &[], body);
         }
     }
 
-    /// Carries out the dispatcher's steps until there are none left.
-    pub(super) fn run_dispatcher_steps(&mut self, now: Micros) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => {
+    /// Carries out the dispatcher's commands until there are none left.
+    pub(super) fn run_dispatcher_commands(&mut self, now: Micros) {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
                         pending.attempts.decided(now, node);
                     }
                     self.send_attempt(now, attempt, node);
                 }
-                Step::Forget(attempt, _, outcome) => {
+                Command::Abandon(attempt, _, outcome) => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
                         pending.attempts.ended(now, attempt.n, outcome);
                     }
@@ -124,10 +124,10 @@
                         self.outputs.push(Output::Close(SocketId::Node(id)));
                     }
                 }
-                Step::Over(_, pending, verdict) => self.send_verdict(now, &pending, verdict),
+                Command::EndUnserved(_, pending, verdict) => self.send_verdict(now, &pending, verdict),
                 // The watch delivers the list without a request.
-                Step::Subscribe => {}
-                Step::Log(line) => tracing::info!("{line}"),
+                Command::Subscribe => {}
+                Command::Log(line) => tracing::info!("{line}"),
             }
         }
     }
@@ -135,9 +135,9 @@
     pub(super) fn send_attempt(&mut self, now: Micros, attempt: AttemptId, node: NodeId) {
         match self.connections.choose_connection(now, attempt, node) {
             ConnectionChoice::Reuse(id) => self.start_attempt(now, id, attempt, false),
-            ConnectionChoice::AfterCooldown => self.dispatcher.waits(attempt),
+            ConnectionChoice::AfterCooldown => self.dispatcher.await_connection(attempt),
             ConnectionChoice::Open(id, address, to_close) => {
-                self.dispatcher.waits(attempt);
+                self.dispatcher.await_connection(attempt);
                 self.close_connections(to_close.into_iter().collect());
                 self.outputs.push(Output::Connect(SocketId::Node(id), address));
             }
@@ -169,21 +169,21 @@
         // started either and ends with its connection. One that was sent completely is cancelled at its node
         // where the settings permit it.
         let out: Vec<AttemptId> =
-            self.dispatcher.out().map(|(a, _)| a).filter(|a| a.request == request).collect();
+            self.dispatcher.attempts_in_flight().map(|(a, _)| a).filter(|a| a.request == request).collect();
         for attempt in out {
-            if self.dispatcher.is_waiting(attempt) {
+            if self.dispatcher.awaits_connection(attempt) {
                 self.connections.forget_attempt(attempt);
-                self.dispatcher.ended(now, attempt, Outcome::NotSent, None);
+                self.dispatcher.attempt_ended(now, attempt, Outcome::NotSent, None);
             } else if self.cancel_attempts {
                 if let Some(connection) = self.connections.forget_attempt(attempt) {
                     self.outputs.push(Output::Close(SocketId::Node(connection)));
                 }
-                self.dispatcher.ended(now, attempt, Outcome::Cancelled, None);
+                self.dispatcher.attempt_ended(now, attempt, Outcome::Cancelled, None);
             } else if let Some(connection) = self.connections.connection_of(attempt) {
-                self.outputs.push(Output::Cut(SocketId::Node(connection)));
+                self.outputs.push(Output::CloseIfUnsent(SocketId::Node(connection)));
             }
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
         Some(pending)
     }
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use platform::{Config, End, Machine, Output, Sizes, SocketId};
+use platform::{Config, End, Machine, Output, ResourceLimits, SocketId};
 
 pub const LISTEN: &str = "127.0.0.1:0";
 
@@ -107,7 +107,7 @@
     pub unread: BTreeSet<SocketId>,
     pub blocked_output: BTreeSet<SocketId>,
     reports: Vec<Report>,
-    /// Number of [`Output::Resume`] operations.
+    /// Number of [`Output::ResumeReading`] operations.
     pub resume_count: usize,
     pub accept_permits: usize,
     pub stopped_listening: bool,
@@ -115,8 +115,8 @@
 }
 
 impl TestGateway {
-    pub fn with_list(sizes: Sizes, known: &serde_json::Value) -> Self {
-        TestGateway::from_config(&config(address(1), 512, known), sizes)
+    pub fn with_list(limits: ResourceLimits, known: &serde_json::Value) -> Self {
+        TestGateway::from_config(&config(address(1), 512, known), limits)
     }
 
     /// The gateway of [`TestGateway::with_two_nodes`], with this seed for its random delays.
@@ -127,7 +127,12 @@
         config.seed = seed;
         TestGateway::from_config(
             &config,
-            Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 },
+            ResourceLimits {
+                client_connections: 16,
+                node_connections: 16,
+                max_response_bytes: 512 << 10,
+                max_buffered_response_bytes: 1 << 20,
+            },
         )
     }
 
@@ -139,14 +144,14 @@
         let mut document: serde_json::Value = serde_json::from_str(&text).expect("a configuration");
         change(&mut document["settings"]);
         let config = Config::parse("test", document.to_string().as_bytes()).unwrap_or_else(|e| panic!("{e}"));
-        TestGateway::from_config(&config, LARGE_SIZES)
+        TestGateway::from_config(&config, LARGE_LIMITS)
     }
 
     /// A gateway with a configuration.
-    pub fn from_config(config: &Config, sizes: Sizes) -> Self {
+    pub fn from_config(config: &Config, limits: ResourceLimits) -> Self {
         let now = 1_000_000_000;
         let mut gateway = TestGateway {
-            machine: Machine::new(now, config, sizes),
+            machine: Machine::new(now, config, limits),
             now,
             written: BTreeMap::new(),
             connecting: Vec::new(),
@@ -170,24 +175,31 @@
         let members =
             [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
         TestGateway::with_list(
-            Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 },
+            ResourceLimits {
+                client_connections: 16,
+                node_connections: 16,
+                max_response_bytes: 512 << 10,
+                max_buffered_response_bytes: 1 << 20,
+            },
             &node_list(5, true, &members),
         )
     }
 
     pub fn perform_outputs(&mut self) {
-        let mut outputs: Vec<Output> = self.machine.drain().collect();
+        let mut outputs: Vec<Output> = self.machine.drain_outputs().collect();
         while !outputs.is_empty() {
             self.perform(std::mem::take(&mut outputs));
             for report in std::mem::take(&mut self.reports) {
                 match report {
-                    Report::Stale(socket) => self.machine.stale(self.now, socket),
-                    Report::Parted(socket, done) => self.machine.parted(self.now, socket, done),
-                    Report::GaveWay(socket, done) => self.machine.gave_way(self.now, socket, done),
-                    Report::Cut(socket) => self.machine.ended(self.now, socket, End::Cut),
+                    Report::Stale(socket) => self.machine.idle_write_rejected(self.now, socket),
+                    Report::Parted(socket, done) => {
+                        self.machine.shutdown_write_result(self.now, socket, done)
+                    }
+                    Report::GaveWay(socket, done) => self.machine.close_result(self.now, socket, done),
+                    Report::Cut(socket) => self.machine.connection_ended(self.now, socket, End::Cut),
                 }
             }
-            outputs.extend(self.machine.drain());
+            outputs.extend(self.machine.drain_outputs());
         }
     }
 
@@ -202,7 +214,7 @@
                     assert!(!self.closed.contains(&socket), "written after it was closed: {socket:?}");
                     self.written.entry(socket).or_default().extend_from_slice(&bytes);
                 }
-                Output::Reuse(socket, bytes) => {
+                Output::WriteIfIdle(socket, bytes) => {
                     assert!(!self.closed.contains(&socket), "used again after it was closed: {socket:?}");
                     if self.closed_by_node.remove(&socket) {
                         self.closed.insert(socket);
@@ -211,24 +223,24 @@
                         self.written.entry(socket).or_default().extend_from_slice(&bytes);
                     }
                 }
-                Output::Finish(socket) => {
+                Output::ShutdownWrite(socket) => {
                     self.finished.insert(socket);
                 }
-                Output::Part(socket) => {
+                Output::ShutdownWriteIfNoInput(socket) => {
                     let done = !self.unread.contains(&socket);
                     if done {
                         self.finished.insert(socket);
                     }
                     self.reports.push(Report::Parted(socket, done));
                 }
-                Output::GiveWay(socket) => {
+                Output::CloseIfIdle(socket) => {
                     let done = !self.unread.contains(&socket) && !self.blocked_output.contains(&socket);
                     if done {
                         self.closed.insert(socket);
                     }
                     self.reports.push(Report::GaveWay(socket, done));
                 }
-                Output::Cut(socket) => {
+                Output::CloseIfUnsent(socket) => {
                     if self.blocked_output.remove(&socket) {
                         self.closed.insert(socket);
                         self.reports.push(Report::Cut(socket));
@@ -238,9 +250,9 @@
                     self.closed.insert(socket);
                     self.connecting.retain(|(connecting, _)| *connecting != socket);
                 }
-                Output::Resume(_) => self.resume_count += 1,
+                Output::ResumeReading(_) => self.resume_count += 1,
                 Output::Accept => self.accept_permits += 1,
-                Output::Unlisten => self.stopped_listening = true,
+                Output::StopListening => self.stopped_listening = true,
             }
         }
     }
@@ -276,7 +288,7 @@
 
     pub fn establish(&mut self, socket: SocketId) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.up(self.now, socket);
+        self.machine.connection_established(self.now, socket);
         self.perform_outputs();
     }
 
@@ -286,7 +298,7 @@
 
     pub fn end_with(&mut self, socket: SocketId, end: End) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
-        self.machine.ended(self.now, socket, end);
+        self.machine.connection_ended(self.now, socket, end);
         self.perform_outputs();
     }
 
@@ -352,7 +364,12 @@
     std::str::from_utf8(bytes).unwrap_or("?")
 }
 
-pub const LARGE_SIZES: Sizes = Sizes { clients: 16, links: 16, answer: 512 << 10, answers: 1 << 20 };
+pub const LARGE_LIMITS: ResourceLimits = ResourceLimits {
+    client_connections: 16,
+    node_connections: 16,
+    max_response_bytes: 512 << 10,
+    max_buffered_response_bytes: 1 << 20,
+};
 
 /// A gateway, a client, and the connection on which its request was sent.
 pub fn gateway_with_sent_request(request: &str) -> (TestGateway, SocketId, SocketId) {
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -232,7 +232,7 @@
 #[test]
 fn a_silent_watch_on_the_previous_address_closes_once_the_current_one_is_live() {
     let (mut gateway, before) = gateway_with_watch();
-    gateway.machine.reconfigured(gateway.now, address(2));
+    gateway.machine.set_discovery_address(gateway.now, address(2));
     gateway.perform_outputs();
     let after = gateway.establish_watch();
     gateway.receive(after, WATCH_RESPONSE_HEAD);
@@ -251,7 +251,7 @@
         [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
     let mut config = config(address(1), 512, &node_list(5, true, &nodes));
     config.settings.drain_grace = 100_000;
-    let mut gateway = TestGateway::from_config(&config, LARGE_SIZES);
+    let mut gateway = TestGateway::from_config(&config, LARGE_LIMITS);
     let (start, mut calls) = (gateway.now, Vec::new());
     while !gateway.machine.summary().contains("nodes=3") {
         gateway.advance(10_000);
--- a/crates/platform/tests/nodes.rs
+++ b/crates/platform/tests/nodes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{Sizes, SocketId};
+use platform::{ResourceLimits, SocketId};
 
 #[test]
 fn a_request_goes_to_its_shards_node_unchanged_and_the_answer_comes_back_unchanged() {
@@ -67,7 +67,7 @@
     // ran, 502 otherwise.
     let answered = |answer: &str| {
         let (mut gateway, client, node) = gateway_with_sent_request(&write_request("r1", 0, "x"));
-        while gateway.machine.open() > 0 {
+        while gateway.machine.open_requests() > 0 {
             if !gateway.take_written(node).is_empty() {
                 gateway.receive(node, answer);
             }
@@ -137,7 +137,7 @@
 #[test]
 fn a_refusal_is_sent_at_once_with_retry_after() {
     let mut gateway = TestGateway::with_list(
-        LARGE_SIZES,
+        LARGE_LIMITS,
         &node_list(1, true, &[list_entry("a", address(100), 0, "terminating")]),
     );
     let client = gateway.connect_client();
@@ -148,7 +148,7 @@
     let after = answer.lines().find_map(|l| l.strip_prefix("Retry-After: ")).expect("advice");
     assert!(after.parse::<f64>().is_ok_and(|a| a > 0.0 && a <= 1.0), "{after}");
     // Held until its latency target, not until its deadline.
-    assert_eq!(gateway.machine.open(), 0);
+    assert_eq!(gateway.machine.open_requests(), 0);
 }
 
 #[test]
@@ -156,7 +156,7 @@
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.end(client, false);
     assert!(gateway.closed.contains(&node));
-    assert_eq!(gateway.machine.open(), 0);
+    assert_eq!(gateway.machine.open_requests(), 0);
     // An attempt that waits for its connection is never sent.
     let client = gateway.connect_client();
     gateway.receive(client, read_request("r2", 0));
@@ -271,8 +271,10 @@
 fn at_the_connection_limit_an_idle_one_is_closed_or_the_request_refused() {
     let members =
         [list_entry("a", address(100), 0, "in_service"), list_entry("b", address(101), 1, "in_service")];
-    let mut gateway =
-        TestGateway::with_list(Sizes { clients: 8, links: 1, ..LARGE_SIZES }, &node_list(1, true, &members));
+    let mut gateway = TestGateway::with_list(
+        ResourceLimits { client_connections: 8, node_connections: 1, ..LARGE_LIMITS },
+        &node_list(1, true, &members),
+    );
     let client = gateway.connect_client();
     gateway.receive(client, read_request("r1", 0));
     let first = gateway.establish_node();
--- a/crates/settings/src/assemble.rs
+++ b/crates/settings/src/assemble.rs
@@ -7,9 +7,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use decisions::{Group, Micros, RetryBudget, Settings, ShardId};
+use decisions::{DedupScope, Micros, RetryBudget, Settings, ShardId};
 use emulator::{ModelOptions, NodeOptions};
-use gateway::{GatewayOptions, LinkOptions, NodeLine, NodeLineState};
+use gateway::{GatewayOptions, NodeConnectionOptions, NodeLine, NodeLineState};
 use load::ClientOptions;
 use nvme::{Digests, Namespace, TargetOptions};
 use records::Op;
@@ -34,15 +34,15 @@
     pub fn module(&self, index: usize) -> Settings {
         let (g, r) = (&self.site, &self.rules);
         let class = |c: &Class| decisions::Class {
-            aim: micros(c.aim_ms),
-            aim_stretch: 0.0,
+            latency_target: micros(c.aim_ms),
+            latency_target_stretch: 0.0,
             worth: c.worth,
             late_worth: c.late_worth,
-            repeats: match c.repeats {
-                Repeats::Safe => decisions::Repeats::Safe,
-                Repeats::Unsafe => decisions::Repeats::Unsafe,
-                Repeats::Keyed => decisions::Repeats::Keyed {
-                    group: Group::Shard,
+            idempotency: match c.repeats {
+                Repeats::Safe => decisions::Idempotency::Safe,
+                Repeats::Unsafe => decisions::Idempotency::Unsafe,
+                Repeats::Keyed => decisions::Idempotency::Keyed {
+                    scope: DedupScope::Shard,
                     window: micros(c.window_ms.unwrap_or(0)),
                 },
             },
@@ -63,29 +63,29 @@
             plans: self.plan.iter().map(plan).collect(),
             hosts: self.gateway.len() as u32,
             index: index as u32,
-            must_ask: false,
-            most_attempts: r.most_attempts,
-            second_copies: false,
-            cancel: false,
-            probes: false,
-            advice: true,
-            most_advice: micros(r.most_advice_ms),
+            needs_subscription: false,
+            max_attempts: r.most_attempts,
+            hedging: false,
+            cancellation: false,
+            probing: false,
+            retry_advice: true,
+            max_retry_after: micros(r.most_advice_ms),
             cold_units: r.cold_units,
             cold_window: micros(r.cold_window_ms),
-            cold_from: r.cold_from,
+            cold_start_fraction: r.cold_from,
             warm_after: micros(r.warm_after_ms),
             drain_grace: micros(r.drain_grace_ms),
-            order_rest: micros(r.order_rest_ms),
-            budget: r.budget_window_ms.map(|ms| RetryBudget {
+            key_pause: micros(r.order_rest_ms),
+            retry_budget: r.budget_window_ms.map(|ms| RetryBudget {
                 window: micros(ms),
-                free: r.budget_free,
-                share: r.budget_share,
+                base: r.budget_free,
+                per_request: r.budget_share,
             }),
-            most_units: g.most_units,
-            mean_units: g.mean_units,
+            max_request_units: g.most_units,
+            mean_request_units: g.mean_units,
             share_worth: g.share_worth,
             spare_worth: g.spare_worth,
-            waste_price: g.waste_price,
+            waste_cost: g.waste_price,
         }
     }
 
@@ -102,7 +102,7 @@
                 Op::Flush => Opcode::Flush,
             },
             max_bytes: c.most_kib.map(|kib| u64::from(kib) * 1024),
-            patience: micros(c.patience_ms),
+            timeout: micros(c.patience_ms),
         };
         let volume = |v: &Volume| storage_core::Volume {
             name: v.name.clone(),
@@ -180,7 +180,7 @@
             seed,
             target: self.target(&g.name, "crowbay gateway", self.namespaces(through)),
             digests: digests(l.digests),
-            link: LinkOptions {
+            node_connection: NodeConnectionOptions {
                 subsystem: self.site.subsystem.clone(),
                 entries: self.link.queue_entries,
                 connect_timeout: millis(self.link.connect_ms),
@@ -189,23 +189,23 @@
                 keep_alive: millis(self.link.keep_alive_ms),
                 digests: digests(self.link.digests),
             },
-            gate: limits::GateOptions {
+            client_limits: limits::AdmissionLimits {
                 connections: l.connections,
-                from_address: l.connections_from_address,
-                rising_from_address: l.rising_from_address,
-                way_up: Micros::from(l.way_up_ms) * 1000,
+                connections_from_address: l.connections_from_address,
+                connecting_from_address: l.rising_from_address,
+                connect_timeout: Micros::from(l.way_up_ms) * 1000,
                 host_commands: l.host_commands,
                 commands: l.commands,
                 host_bytes: u64::from(l.host_held_mib) << 20,
                 bytes: u64::from(l.held_mib) << 20,
             },
-            spill: l.spill_kib * 1024,
+            max_unsent_bytes: l.spill_kib * 1024,
             nodes,
             await_orders: false,
-            control,
-            stop_within: millis(l.stop_within_ms),
-            company: None,
-            plane: None,
+            control_socket: control,
+            stop_timeout: millis(l.stop_within_ms),
+            peer_network: None,
+            control_plane: None,
         })
     }
 
