--- a/crates/dispatch/src/dispatcher/connection_wait.rs
+++ b/crates/dispatch/src/dispatcher/connection_wait.rs
@@ -13,7 +13,7 @@
         if let Some(in_flight) = self.in_flight.get_mut(&attempt).filter(|a| !a.awaits_connection) {
             in_flight.awaits_connection = true;
             let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: true });
+            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: true });
         }
     }
 
@@ -42,7 +42,7 @@
         let in_flight = self.in_flight.get_mut(&attempt)?;
         if std::mem::take(&mut in_flight.awaits_connection) {
             let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: false });
+            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: false });
         }
         Some((in_flight.node, in_flight.due))
     }
@@ -57,8 +57,8 @@
             if let Some(open) = self.requests.get_mut(&request) {
                 open.deadline = by;
             }
-            let patience = (by - self.now).max(0);
-            self.events.push_back(Event::Hastened { request, patience });
+            let timeout = (by - self.now).max(0);
+            self.events.push_back(Event::DeadlineShortened { request, timeout });
         }
         for (&attempt, in_flight) in self.in_flight.iter_mut().filter(|(_, a)| a.due > by) {
             self.due.remove(&(in_flight.due, Due::AttemptDeadline(attempt)));
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -150,8 +150,8 @@
         shard,
         units,
         hosts,
-        patience: (timeout_us - waited).max(0),
-        retry,
+        timeout: (timeout_us - waited).max(0),
+        is_retry: retry,
         // A connection doesn't identify a client: the platform's clients come back on other connections.
         client: None,
     };
