--- a/crates/gateway/src/front_end.rs
+++ b/crates/gateway/src/front_end.rs
@@ -114,7 +114,7 @@
             session.receive(bytes, self.clock.now(), &mut self.target(), &mut out, &mut outputs);
         }
         let mut answers = GatherList::new();
-        answers.copy(&out);
+        answers.append_copy(&out);
         connection.outlet.push(answers);
         let mut keep_open = true;
         for output in outputs {
--- a/crates/gather/src/lib.rs
+++ b/crates/gather/src/lib.rs
@@ -15,23 +15,23 @@
 /// A destination for encoded PDUs (protocol data units).
 pub trait PduSink {
     /// Appends a copy of the bytes.
-    fn copy(&mut self, bytes: &[u8]);
+    fn append_copy(&mut self, bytes: &[u8]);
 
     /// Appends data, which the sink may share instead of copying it.
-    fn share(&mut self, data: &Bytes) {
-        self.copy(data);
+    fn append_shared(&mut self, data: &Bytes) {
+        self.append_copy(data);
     }
 
     /// Announces how many bytes will be appended.
-    fn expect(&mut self, bytes: usize);
+    fn reserve(&mut self, bytes: usize);
 }
 
 impl PduSink for BytesMut {
-    fn copy(&mut self, bytes: &[u8]) {
+    fn append_copy(&mut self, bytes: &[u8]) {
         self.extend_from_slice(bytes);
     }
 
-    fn expect(&mut self, bytes: usize) {
+    fn reserve(&mut self, bytes: usize) {
         self.reserve(bytes);
     }
 }
@@ -67,7 +67,7 @@
     /// Appends the bytes of another list without copying its pieces.
     pub fn append(&mut self, mut other: GatherList) {
         if other.pieces.is_empty() {
-            self.copy(&other.tail);
+            self.append_copy(&other.tail);
             return;
         }
         self.seal_tail();
@@ -126,21 +126,21 @@
 }
 
 impl PduSink for GatherList {
-    fn copy(&mut self, bytes: &[u8]) {
+    fn append_copy(&mut self, bytes: &[u8]) {
         self.len += bytes.len();
         self.tail.extend_from_slice(bytes);
     }
 
-    fn share(&mut self, data: &Bytes) {
+    fn append_shared(&mut self, data: &Bytes) {
         if data.len() < MIN_SHARED_BYTES {
-            return self.copy(data);
+            return self.append_copy(data);
         }
         self.seal_tail();
         self.len += data.len();
         self.pieces.push_back(data.clone());
     }
 
-    fn expect(&mut self, bytes: usize) {
+    fn reserve(&mut self, bytes: usize) {
         // Large data is shared, so only small amounts need space in the tail.
         self.tail.reserve(bytes.min(MIN_SHARED_BYTES));
     }
--- a/crates/gather/src/tests.rs
+++ b/crates/gather/src/tests.rs
@@ -33,13 +33,13 @@
         };
         for step in steps {
             match step {
-                Step::Copy(n) => { let b = next_bytes(n); list.copy(&b); expected.extend(b); }
-                Step::Share(n) => { let b = next_bytes(n); list.share(&b.clone().into()); expected.extend(b); }
+                Step::Copy(n) => { let b = next_bytes(n); list.append_copy(&b); expected.extend(b); }
+                Step::Share(n) => { let b = next_bytes(n); list.append_shared(&b.clone().into()); expected.extend(b); }
                 Step::Append(a, b) => {
                     let mut other = GatherList::new();
                     let (a, b) = (next_bytes(a), next_bytes(b));
-                    other.share(&a.clone().into());
-                    other.copy(&b);
+                    other.append_shared(&a.clone().into());
+                    other.append_copy(&b);
                     list.append(other);
                     expected.extend(a);
                     expected.extend(b);
--- a/crates/interleavings/tests/spill.rs
+++ b/crates/interleavings/tests/spill.rs
@@ -85,7 +85,7 @@
 }
 
 fn append(outlet: &Outlet, bytes: &[u8]) {
-    outlet.send_buffer.append(|rest| rest.copy(bytes));
+    outlet.send_buffer.append(|rest| rest.append_copy(bytes));
 }
 
 fn start(outlet: &Arc<Outlet>) -> io::Result<()> {
@@ -142,7 +142,7 @@
         assert_eq!(outlet.send_buffer.socket().wire().bytes, b"abcdef");
     }
     last(&outlet, how);
-    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")));
+    assert!(!outlet.send_buffer.append(|rest| rest.append_copy(b"late")));
     assert_eq!(settle(&outlet), b"abcdef", "what was accepted was not written once and in order");
     assert_eq!(is_shut(&outlet), Some(how));
     assert!(!outlet.send_buffer.was_cut() || how == Shutdown::Both, "nothing was cut");
@@ -174,7 +174,10 @@
     let seen = settle(&outlet);
     assert!(b"abcdef".starts_with(&seen), "the peer got {seen:?}, which is no beginning of what was sent");
     assert_eq!(is_shut(&outlet), Some(Shutdown::Both));
-    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")), "something is kept after the close");
+    assert!(
+        !outlet.send_buffer.append(|rest| rest.append_copy(b"late")),
+        "something is kept after the close"
+    );
     assert!(!outlet.send_buffer.was_cut() || seen != b"abcdef", "all was written, and yet it was cut");
     outlet.send_buffer.flush(|| panic!("a writer after the close"));
     assert_eq!(settle(&outlet), seen, "something is written after the close");
@@ -187,7 +190,10 @@
     let closer = thread::spawn(move || own.send_buffer.close());
     append(&outlet, b"abc");
     closer.join().expect("it closed");
-    assert!(!outlet.send_buffer.append(|rest| rest.copy(b"late")), "something is kept after the close");
+    assert!(
+        !outlet.send_buffer.append(|rest| rest.append_copy(b"late")),
+        "something is kept after the close"
+    );
 }
 
 /// The connection breaks under the writer while more is appended.
--- a/crates/nvme/src/pdu.rs
+++ b/crates/nvme/src/pdu.rs
@@ -261,7 +261,7 @@
             (digests.header && kind.has_digests(), digests.data && kind.has_digests() && !data.is_empty());
         let header_end = hlen + if hdgst { 4 } else { 0 };
         let plen = header_end + data.len() + if ddgst { 4 } else { 0 };
-        out.expect(plen);
+        out.reserve(plen);
         let mut header = [0u8; 128];
         let b = &mut header[..hlen];
         b[0] = kind as u8;
@@ -270,13 +270,13 @@
         b[3] = if data.is_empty() || !kind.has_digests() { 0 } else { header_end as u8 };
         put(b, 4, &(plen as u32).to_le_bytes());
         self.write_fields(b);
-        out.copy(b);
+        out.append_copy(b);
         if hdgst {
-            out.copy(&crc32c::crc32c(b).to_le_bytes());
+            out.append_copy(&crc32c::crc32c(b).to_le_bytes());
         }
-        out.share(data);
+        out.append_shared(data);
         if ddgst {
-            out.copy(&crc32c::crc32c(data).to_le_bytes());
+            out.append_copy(&crc32c::crc32c(data).to_le_bytes());
         }
     }
 
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -205,7 +205,7 @@
     fn queue_output(&mut self, socket: SocketId, bytes: &Bytes) {
         let Some(connection) = self.connections.get(&socket) else { return };
         let mut list = GatherList::new();
-        list.share(bytes);
+        list.append_shared(bytes);
         connection.outlet.push(list);
         if connection.outlet.is_starved() {
             self.starved.insert(socket);
--- a/crates/transport/tests/outlet.rs
+++ b/crates/transport/tests/outlet.rs
@@ -23,13 +23,13 @@
 fn unflushed_data_is_written_before_the_outlet_finishes() {
     for both in [true, false] {
         let (outlet, mut peer) = pair();
-        outlet.append(|rest| rest.copy(&vec![7; LARGE]));
+        outlet.append(|rest| rest.append_copy(&vec![7; LARGE]));
         if both {
             outlet.finish()
         } else {
             outlet.finish_writing()
         }
-        assert!(!outlet.append(|rest| rest.copy(b"late")), "an outlet accepts nothing after finish");
+        assert!(!outlet.append(|rest| rest.append_copy(b"late")), "an outlet accepts nothing after finish");
         let mut got = Vec::new();
         peer.read_to_end(&mut got).expect("read to the orderly end");
         assert!(got.len() == LARGE && got.iter().all(|b| *b == 7), "the peer got {} bytes", got.len());
@@ -41,7 +41,7 @@
 fn a_close_with_unwritten_data_is_recorded_as_a_cut() {
     let (outlet, peer) = pair();
     let mut data = GatherList::new();
-    data.copy(&vec![7; LARGE]);
+    data.append_copy(&vec![7; LARGE]);
     outlet.push(data);
     outlet.close();
     assert!(outlet.was_cut());
