--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -371,7 +371,7 @@
             let start = (part.slba - operation.slba) as usize * open.block_size as usize;
             operation.data.slice(start..start + bytes as usize)
         };
-        let is_retry = attempt.n > 0 || operation.retry;
+        let is_retry = attempt.index > 0 || operation.retry;
         if is_retry {
             self.retry_demands.use_token(part.shard);
         }
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -8,7 +8,7 @@
     /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Index of the attempt within the request, from 0.
-    pub n: u32,
+    pub index: u32,
 }
 
 /// The final answer of a request that was not served.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -306,7 +306,7 @@
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
             Action::Cancel { request, attempt } => {
-                let id = AttemptId { request, n: attempt };
+                let id = AttemptId { request, index: attempt };
                 if let Some(in_flight) = self.in_flight.remove(&id) {
                     self.due.remove(&(in_flight.due, Due::AttemptDeadline(id)));
                     let outcome =
@@ -328,16 +328,16 @@
             // The request was withdrawn in the meantime and the attempt is not sent. The scheduler must be
             // notified, or it would count the attempt as in flight forever.
             if let Some(attempts) = self.withdrawn_attempts.get_mut(&request) {
-                let attempt = AttemptId { request, n: *attempts };
+                let attempt = AttemptId { request, index: *attempts };
                 *attempts += 1;
                 self.events.push_back(answer_event(attempt, node, Outcome::NotSent, true, 0));
             }
             return;
         };
-        let attempt = AttemptId { request, n: open.attempts_sent };
+        let attempt = AttemptId { request, index: open.attempts_sent };
         open.attempts_sent += 1;
         self.counts.sent += 1;
-        self.counts.retries += u64::from(attempt.n > 0);
+        self.counts.retries += u64::from(attempt.index > 0);
         let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
@@ -391,7 +391,7 @@
 fn answer_event(attempt: AttemptId, node: NodeId, outcome: Outcome, settled: bool, latency: Micros) -> Event {
     Event::Answer(Answer {
         request: attempt.request,
-        attempt: attempt.n,
+        attempt: attempt.index,
         node,
         outcome,
         settled,
--- a/crates/dispatch/src/dispatcher/connection_wait.rs
+++ b/crates/dispatch/src/dispatcher/connection_wait.rs
@@ -12,8 +12,8 @@
     pub fn await_connection(&mut self, attempt: AttemptId) {
         if let Some(in_flight) = self.in_flight.get_mut(&attempt).filter(|a| !a.awaits_connection) {
             in_flight.awaits_connection = true;
-            let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: true });
+            let AttemptId { request, index } = attempt;
+            self.events.push_back(Event::Waits { request, attempt: index, waits: true });
         }
     }
 
@@ -26,7 +26,7 @@
     /// passed and the scheduler still considers the attempt valid.
     pub fn is_still_valid(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_valid = |in_flight: &InFlight| {
-            now < in_flight.due && self.scheduler.stands(now, attempt.request, attempt.n, in_flight.node)
+            now < in_flight.due && self.scheduler.stands(now, attempt.request, attempt.index, in_flight.node)
         };
         self.requests.contains_key(&attempt.request) && self.in_flight.get(&attempt).is_some_and(is_valid)
     }
@@ -41,8 +41,8 @@
         }
         let in_flight = self.in_flight.get_mut(&attempt)?;
         if std::mem::take(&mut in_flight.awaits_connection) {
-            let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::Waits { request, attempt: n, waits: false });
+            let AttemptId { request, index } = attempt;
+            self.events.push_back(Event::Waits { request, attempt: index, waits: false });
         }
         Some((in_flight.node, in_flight.due))
     }
--- a/crates/gateway/src/node_connection/replies.rs
+++ b/crates/gateway/src/node_connection/replies.rs
@@ -78,7 +78,7 @@
     let mut sqe = Sqe::blocks(opcode, send.nsid, send.slba, send.blocks);
     sqe.set_token(send.token);
     sqe.set_cdw(14, u32::from(send.keyed));
-    sqe.set_cdw(15, send.attempt.n);
+    sqe.set_cdw(15, send.attempt.index);
     Submission { sqe, data: send.data.clone(), expect, user }
 }
 
--- a/crates/gateway/src/shadow_trial.rs
+++ b/crates/gateway/src/shadow_trial.rs
@@ -265,7 +265,7 @@
                 Output::Try { id, node, shard, nsid, slba, blocks, patience } => {
                     self.next_number += 1;
                     let attempt =
-                        AttemptId { request: RequestId(FIRST_COPY_REQUEST | self.next_number), n: 0 };
+                        AttemptId { request: RequestId(FIRST_COPY_REQUEST | self.next_number), index: 0 };
                     self.copies.insert(attempt, (id, node.clone()));
                     self.copy_deadlines.insert((now + patience, attempt));
                     self.to_send.push(ReadCopy { attempt, node, shard, nsid, slba, blocks });
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -97,7 +97,7 @@
     ) {
         let load = answer.and_then(reported_load);
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
-            pending.attempts.ended(now, attempt.n, outcome);
+            pending.attempts.ended(now, attempt.index, outcome);
         }
         if let Some(pending) = self.dispatcher.attempt_ended(now, attempt, outcome, load) {
             let body = answer.map(|a| a.body.clone()).unwrap_or_default();
@@ -118,7 +118,7 @@
                 }
                 Command::Abandon(attempt, _, outcome) => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
-                        pending.attempts.ended(now, attempt.n, outcome);
+                        pending.attempts.ended(now, attempt.index, outcome);
                     }
                     if let Some(id) = self.connections.forget_attempt(attempt) {
                         self.outputs.push(Output::Close(SocketId::Node(id)));
