--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,99 +1,149 @@
-//! The core: operations on volumes over the dispatcher's requests, and each operation's one final answer.
+//! The core: splits operations on volumes into the dispatcher's requests and gives each operation one final
+//! answer.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
-use dispatch::{AttemptId, Dispatcher, ListedNode, Step};
+use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
-use crate::catalogue::{Catalogue, Part};
-use crate::effect::{Effect, End, Send};
-use crate::operation::{Answer, Operation, Ticket};
-use crate::views::{EndedView, Tally, VolumeView};
-use crate::wanted::{Wanted, Wants};
+use crate::catalogue::{Catalogue, Part, Volume};
+use crate::effect::{AttemptEnd, Effect, OutgoingAttempt};
+use crate::operation::{Answer, Operation, OperationId};
+use crate::retry_demand::{RetryDemand, RetryDemands};
+use crate::views::{OperationCounts, UnservedView, VolumeView};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PieceState {
     Open,
+    /// Served, with the data of a read.
     Served(Bytes),
-    Over,
+    Unserved,
 }
 
+/// The state of one part of an open operation.
 pub(crate) struct Piece {
     pub(crate) request: RequestId,
     pub(crate) part: Part,
     pub(crate) state: PieceState,
-    /// Attempts sent.
-    pub(crate) sent: u32,
-    /// Attempts that are out, were served, or may have run.
-    pub(crate) doubt: u32,
+    pub(crate) attempts_sent: u32,
+    /// Attempts that are in flight, were served, or may have run.
+    pub(crate) attempts_possibly_run: u32,
 }
 
-pub(crate) struct Open {
+/// An operation without a final answer yet.
+pub(crate) struct OpenOperation {
     pub(crate) operation: Operation,
-    /// The client gave the token: its repeat carries the same.
-    pub(crate) named: bool,
+    /// The token was set by the client, whose retry carries the same one.
+    pub(crate) has_client_token: bool,
     pub(crate) class: usize,
     pub(crate) block_size: u32,
-    pub(crate) taken: Micros,
+    pub(crate) accepted_at: Micros,
     pub(crate) pieces: Vec<Piece>,
-    /// How the last attempt ended that did not serve.
-    pub(crate) last: Option<Outcome>,
+    /// Outcome of the last attempt that ended without serving.
+    pub(crate) last_outcome: Option<Outcome>,
 }
 
-/// A request of the dispatcher: the operation that it is a part of, and which.
-type Place = (Ticket, usize);
+/// Payload of a dispatcher request: the operation that it belongs to, and the index of its piece.
+type PieceRef = (OperationId, usize);
 
 /// One gateway's core.
 pub struct Core {
     pub(crate) catalogue: Catalogue,
-    pub(crate) dispatcher: Dispatcher<Place>,
+    pub(crate) dispatcher: Dispatcher<PieceRef>,
     pub(crate) now: Micros,
-    pub(crate) open: HashMap<Ticket, Open>,
+    pub(crate) open: HashMap<OperationId, OpenOperation>,
+    /// Randomizes the tokens generated for operations without one.
     token_salt: u64,
-    pub(crate) volumes: BTreeMap<u32, VolumeView>,
-    pub(crate) tally: Tally,
-    pub(crate) ended: VecDeque<EndedView>,
+    pub(crate) volume_views: BTreeMap<u32, VolumeView>,
+    pub(crate) tally: OperationCounts,
+    /// The latest operations that ended unserved, oldest first.
+    pub(crate) unserved: VecDeque<UnservedView>,
+    /// Operations that ended unserved, by reason.
     pub(crate) reasons: BTreeMap<&'static str, u64>,
-    pub(crate) wants: Wants,
+    pub(crate) retry_demands: RetryDemands,
 }
 
 impl Core {
-    /// A core that has taken nothing yet. `seed` feeds the module's randomness and the tokens it gives.
+    /// Creates a core without operations. `seed` initializes the scheduler's random numbers and the tokens
+    /// that the core generates.
     pub fn new(catalogue: Catalogue, seed: u64) -> Self {
         let dispatcher = Dispatcher::new(catalogue.settings.clone(), seed);
-        let volumes = catalogue.volumes().map(|v| (v.nsid, VolumeView::default())).collect();
+        let volume_views = catalogue.volumes().map(|v| (v.nsid, VolumeView::default())).collect();
         Core {
             catalogue,
             dispatcher,
             now: Micros::MIN,
             open: HashMap::new(),
             token_salt: seed,
-            volumes,
-            tally: Tally::default(),
-            ended: VecDeque::new(),
+            volume_views,
+            tally: OperationCounts::default(),
+            unserved: VecDeque::new(),
             reasons: BTreeMap::new(),
-            wants: Wants::default(),
+            retry_demands: RetryDemands::default(),
         }
     }
 
-    /// The catalogue it works by.
+    /// Returns the core's configuration.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Takes an operation whose range was checked. An unknown volume is refused without advice.
+    /// Submits an operation, whose block range the caller must have checked. An operation on an unknown
+    /// volume is refused without retry advice.
     pub fn submit(&mut self, now: Micros, operation: Operation, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let ticket = operation.ticket;
+        let id = operation.id;
         let Some(volume) = self.catalogue.volume(operation.nsid) else {
-            effects.push(Effect::Answer(ticket, Answer::Refused { come_back: 0 }));
+            effects.push(Effect::Answer(id, Answer::Refused { come_back: 0 }));
             return;
         };
         let bytes = u64::from(operation.blocks) * u64::from(volume.block_size);
         let class = self.catalogue.class(operation.opcode, bytes);
-        let patience = self.catalogue.rules[class].patience;
-        let parts: Vec<(Part, Request)> = volume
+        let parts = self.split(volume, &operation, class);
+        let block_size = volume.block_size;
+        if let Some(view) = self.volume_views.get_mut(&operation.nsid) {
+            view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
+            view.accepted += 1;
+            view.open += 1;
+        }
+        let mut pieces = Vec::with_capacity(parts.len());
+        for (index, (part, request)) in parts.into_iter().enumerate() {
+            let request = self.dispatcher.submit(self.now, request, (id, index));
+            pieces.push(Piece {
+                request,
+                part,
+                state: PieceState::Open,
+                attempts_sent: 0,
+                attempts_possibly_run: 0,
+            });
+        }
+        self.tally.accepted += 1;
+        let mut operation = operation;
+        let has_client_token = operation.token != 0;
+        if !has_client_token {
+            operation.token = self.token_salt ^ (id.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        }
+        let accepted_at = self.now;
+        self.open.insert(
+            id,
+            OpenOperation {
+                operation,
+                has_client_token,
+                class,
+                block_size,
+                accepted_at,
+                pieces,
+                last_outcome: None,
+            },
+        );
+        self.carry_out_commands(effects);
+    }
+
+    /// Splits an operation into its parts, each with its request.
+    fn split(&self, volume: &Volume, operation: &Operation, class: usize) -> Vec<(Part, Request)> {
+        let patience = self.catalogue.rules[class].timeout;
+        volume
             .parts(operation.slba, operation.blocks)
             .into_iter()
             .map(|part| {
@@ -112,107 +162,96 @@
                 };
                 (part, request)
             })
-            .collect();
-        let block_size = volume.block_size;
-        if let Some(view) = self.volumes.get_mut(&operation.nsid) {
-            view.units += parts.iter().map(|(_, r)| r.units).sum::<f64>();
-            view.taken += 1;
-            view.open += 1;
-        }
-        let mut pieces = Vec::with_capacity(parts.len());
-        for (index, (part, ask)) in parts.into_iter().enumerate() {
-            let request = self.dispatcher.take(self.now, ask, (ticket, index));
-            pieces.push(Piece { request, part, state: PieceState::Open, sent: 0, doubt: 0 });
-        }
-        self.tally.taken += 1;
-        let mut operation = operation;
-        let named = operation.token != 0;
-        if !named {
-            operation.token = self.token_salt ^ (ticket.0 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        }
-        let taken = self.now;
-        self.open.insert(ticket, Open { operation, named, class, block_size, taken, pieces, last: None });
-        self.settle(effects);
+            .collect()
     }
 
-    /// The client is gone: nothing more is owed, no further attempt goes out. Whether something of it had been sent.
-    pub fn withdraw(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    /// Withdraws an operation whose client has gone: it gets no answer and no more attempts. Returns whether
+    /// any attempt had been sent.
+    pub fn withdraw(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
-        let was_sent = open.pieces.iter().any(|piece| piece.sent > 0);
+        let Some(open) = self.open.get(&id) else { return false };
+        let was_sent = open.pieces.iter().any(|piece| piece.attempts_sent > 0);
         self.tally.withdrawn += 1;
-        self.drop_operation(ticket);
-        self.settle(effects);
+        self.remove_operation(id);
+        self.carry_out_commands(effects);
         was_sent
     }
 
-    /// Takes an operation back if nothing of it has gone out; whether that was so. It then gets no other answer.
-    pub fn abort(&mut self, now: Micros, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
+    /// Aborts an operation if no attempt was sent; returns whether it was aborted. An aborted operation gets
+    /// no answer.
+    pub fn abort(&mut self, now: Micros, id: OperationId, effects: &mut Vec<Effect>) -> bool {
         self.advance(now);
-        let Some(open) = self.open.get(&ticket) else { return false };
-        if open.pieces.iter().any(|p| p.sent > 0) {
+        let Some(open) = self.open.get(&id) else { return false };
+        if open.pieces.iter().any(|piece| piece.attempts_sent > 0) {
             return false;
         }
         self.tally.aborted += 1;
-        self.drop_operation(ticket);
-        self.settle(effects);
+        self.remove_operation(id);
+        self.carry_out_commands(effects);
         true
     }
 
-    pub(crate) fn drop_operation(&mut self, ticket: Ticket) {
-        let Some(open) = self.open.remove(&ticket) else { return };
-        if let Some(view) = self.volumes.get_mut(&open.operation.nsid) {
+    /// Removes an open operation and withdraws the requests of its unfinished parts.
+    pub(crate) fn remove_operation(&mut self, id: OperationId) {
+        let Some(open) = self.open.remove(&id) else { return };
+        if let Some(view) = self.volume_views.get_mut(&open.operation.nsid) {
             view.open -= 1;
         }
-        for piece in open.pieces.into_iter().filter(|p| p.state == PieceState::Open) {
+        for piece in open.pieces.into_iter().filter(|piece| piece.state == PieceState::Open) {
             self.dispatcher.withdraw(self.now, piece.request);
         }
     }
 
-    /// The host leaves: every open operation is answered now, refused where nothing of it went out or a repeat is
-    /// harmless, else failed.
-    pub fn end_all(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    /// Answers every open operation at shutdown: refused if the client may safely retry it, failed otherwise.
+    pub fn answer_all_open(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        let mut tickets: Vec<Ticket> = self.open.keys().copied().collect();
-        tickets.sort();
-        for ticket in tickets {
-            let Some(open) = self.open.get(&ticket) else { continue };
-            let answer = if self.repeat_is_harmless(open) {
+        let mut ids: Vec<OperationId> = self.open.keys().copied().collect();
+        ids.sort();
+        for id in ids {
+            let Some(open) = self.open.get(&id) else { continue };
+            let answer = if self.retry_is_safe(open) {
                 Answer::Refused { come_back: self.catalogue.settings.most_advice }
             } else {
                 Answer::Failed
             };
-            self.count_unserved(ticket, &answer);
-            self.drop_operation(ticket);
-            effects.push(Effect::Answer(ticket, answer));
+            self.count_unserved(id, &answer);
+            self.remove_operation(id);
+            effects.push(Effect::Answer(id, answer));
         }
-        self.settle(effects);
+        self.carry_out_commands(effects);
     }
 
-    /// An attempt ended. Ends that nobody waits for any more are counted and passed over.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    /// Reports the end of an attempt. The end of an attempt that is no longer in flight is counted as late
+    /// and otherwise ignored.
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        effects: &mut Vec<Effect>,
+    ) {
         self.advance(now);
-        if let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request)
+        if let Some(&(id, index)) = self.dispatcher.payload(attempt.request)
             && end.outcome != Outcome::Served
-            && self.dispatcher.is_out(attempt)
-            && let Some(open) = self.open.get_mut(&ticket)
+            && self.dispatcher.is_in_flight(attempt)
+            && let Some(open) = self.open.get_mut(&id)
         {
-            open.last = Some(end.outcome);
+            open.last_outcome = Some(end.outcome);
             let never_ran = matches!(end.outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
-            open.pieces[index].doubt -= u32::from(never_ran);
+            open.pieces[index].attempts_possibly_run -= u32::from(never_ran);
         }
-        let served = self.dispatcher.ended(self.now, attempt, end.outcome, end.load);
-        if let Some((ticket, index)) = served
-            && let Some(open) = self.open.get_mut(&ticket)
+        let served = self.dispatcher.attempt_ended(self.now, attempt, end.outcome, end.load);
+        if let Some((id, index)) = served
+            && let Some(open) = self.open.get_mut(&id)
         {
             open.pieces[index].state = PieceState::Served(end.data);
-            self.answer_if_whole(ticket, effects);
+            self.answer_if_complete(id, effects);
         }
-        self.settle(effects);
+        self.carry_out_commands(effects);
     }
 
-    /// The node list: whole, or the lines that changed.
-    pub fn nodes(
+    /// Applies the node list: the whole list, or only the entries that changed.
+    pub fn update_nodes(
         &mut self,
         now: Micros,
         whole: bool,
@@ -221,21 +260,22 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.dispatcher.nodes(self.now, whole, remembered, listed);
-        self.settle(effects);
+        self.dispatcher.update_nodes(self.now, whole, remembered, listed);
+        self.carry_out_commands(effects);
     }
 
-    /// The node list could not be had.
-    pub fn nodes_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    /// Notifies the scheduler that fetching the node list failed.
+    pub fn node_list_failed(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
-        self.dispatcher.nodes_failed(self.now);
-        self.settle(effects);
+        self.dispatcher.node_list_failed(self.now);
+        self.carry_out_commands(effects);
     }
 
-    /// What a shard bears from now on beyond first attempts, in place of what was allowed before: so many further attempts,
-    /// or first ones of operations with `retry`; the rest is refused with this advice, in microseconds, at once or after it
-    /// has waited ([`Core::limit_awaiting`]). A shard never named is unlimited.
-    pub fn allow(
+    /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
+    /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
+    /// its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without an
+    /// allowance is unlimited.
+    pub fn set_retry_tokens(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -244,93 +284,98 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.wants.allow(shard, further);
-        self.dispatcher.allow(self.now, shard, further, come_back);
-        self.settle(effects);
+        self.retry_demands.set_tokens(shard, further);
+        self.dispatcher.set_retry_tokens(self.now, shard, further, come_back);
+        self.carry_out_commands(effects);
     }
 
-    /// How many parts may wait for a right of a shard while it has none left; none until this is told.
-    pub fn limit_awaiting(&mut self, now: Micros, shard: ShardId, most: u32) {
+    /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
+    /// is set.
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
         self.advance(now);
-        self.dispatcher.limit_awaiting(self.now, shard, most);
+        self.dispatcher.limit_token_waiters(self.now, shard, most);
     }
 
-    /// The shards at which other parts wait for a right than were told of last.
+    /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
     pub fn take_shortages(&mut self) -> Vec<Shortage> {
         self.dispatcher.take_shortages()
     }
 
-    /// What was turned away for want of rights since the last call, oldest first; the last few hundred at most.
-    pub fn take_wanted(&mut self) -> VecDeque<Wanted> {
-        self.wants.take()
+    /// Returns the parts refused for lack of a retry token since the last call, oldest first; the last 256 at
+    /// most.
+    pub fn take_retry_demands(&mut self) -> VecDeque<RetryDemand> {
+        self.retry_demands.take()
     }
 
-    /// Forgets the nodes that are gone for good; which they are.
-    pub fn forget_gone(&mut self) -> Vec<NodeId> {
-        self.dispatcher.forget_gone()
+    /// Removes the nodes that are gone and unused; returns them.
+    pub fn remove_gone_nodes(&mut self) -> Vec<NodeId> {
+        self.dispatcher.remove_gone_nodes()
     }
 
-    /// The number of a node; a name that is new gets the next one.
+    /// Returns the number of a node. An unknown name is assigned the next number.
     pub fn node_id(&mut self, name: &str) -> NodeId {
         self.dispatcher.node_id(name)
     }
 
-    /// When [`Core::tick`] is due next.
+    /// Returns the time at which [`Core::tick`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         self.dispatcher.next_due()
     }
 
-    /// Carries out what is due: the module's timers, and attempts whose time is up.
+    /// Handles everything that is due: the scheduler's timers, and attempts whose deadline has passed.
     pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.advance(now);
         while self.dispatcher.tick(self.now) {
-            self.settle(effects);
+            self.carry_out_commands(effects);
         }
     }
 
+    /// Advances the clock, which never goes back.
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Carries out what the dispatcher says until it says nothing more.
-    fn settle(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(step) = self.dispatcher.step() {
-            match step {
-                Step::Send { attempt, node, .. } => self.send(attempt, node, effects),
-                Step::Forget(attempt, node, outcome) => {
-                    if let Some(&(ticket, _)) = self.dispatcher.payload(attempt.request)
-                        && let Some(open) = self.open.get_mut(&ticket)
+    /// Carries out the dispatcher's commands until there are none left.
+    fn carry_out_commands(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(command) = self.dispatcher.next_command() {
+            match command {
+                Command::Send { attempt, node, .. } => self.send(attempt, node, effects),
+                Command::Abandon(attempt, node, outcome) => {
+                    if let Some(&(id, _)) = self.dispatcher.payload(attempt.request)
+                        && let Some(open) = self.open.get_mut(&id)
                     {
-                        open.last = Some(outcome);
+                        open.last_outcome = Some(outcome);
                     }
-                    effects.push(Effect::Forget(attempt, node));
+                    effects.push(Effect::Abandon(attempt, node));
+                }
+                Command::EndUnserved(_, (id, index), verdict) => {
+                    self.end_unserved(id, index, verdict, effects)
                 }
-                Step::Over(_, (ticket, index), verdict) => self.end(ticket, index, verdict, effects),
-                Step::Subscribe => effects.push(Effect::Subscribe),
-                Step::Log(line) => effects.push(Effect::Log(line)),
+                Command::Subscribe => effects.push(Effect::Subscribe),
+                Command::Log(line) => effects.push(Effect::Log(line)),
             }
         }
     }
 
     fn send(&mut self, attempt: AttemptId, node: NodeId, effects: &mut Vec<Effect>) {
-        let Some(&(ticket, index)) = self.dispatcher.payload(attempt.request) else { return };
-        let Some(open) = self.open.get_mut(&ticket) else { return };
+        let Some(&(id, index)) = self.dispatcher.payload(attempt.request) else { return };
+        let Some(open) = self.open.get_mut(&id) else { return };
         let piece = &mut open.pieces[index];
-        piece.sent += 1;
-        piece.doubt += 1;
+        piece.attempts_sent += 1;
+        piece.attempts_possibly_run += 1;
         let (part, operation) = (piece.part, &open.operation);
         let bytes = part.blocks * open.block_size;
         let data = if operation.data.is_empty() {
             Bytes::new()
         } else {
-            let from = (part.slba - operation.slba) as usize * open.block_size as usize;
-            operation.data.slice(from..from + bytes as usize)
+            let start = (part.slba - operation.slba) as usize * open.block_size as usize;
+            operation.data.slice(start..start + bytes as usize)
         };
-        let further = attempt.n > 0 || operation.retry;
-        if further {
-            self.wants.sent(part.shard);
+        let is_retry = attempt.n > 0 || operation.retry;
+        if is_retry {
+            self.retry_demands.use_token(part.shard);
         }
-        effects.push(Effect::Send(Send {
+        effects.push(Effect::Send(OutgoingAttempt {
             attempt,
             node,
             opcode: operation.opcode,
@@ -340,7 +385,7 @@
             bytes,
             data,
             shard: part.shard,
-            further,
+            is_retry,
             token: operation.token,
             keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
         }));
--- /dev/null
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -0,0 +1,34 @@
+//! Retry tokens: passes each shard's allowance to the scheduler and reports which shards run short.
+
+use std::collections::BTreeMap;
+
+use decisions::{Cause, Event, Micros, ShardId, Shortage};
+
+use super::Dispatcher;
+
+impl<P> Dispatcher<P> {
+    /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does the first attempt of a
+    /// request that is marked as a client's retry. Without a token a request is refused with `come_back`, in
+    /// microseconds, as its advice.
+    pub fn set_retry_tokens(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
+        self.advance(now);
+        self.events.push_back(Event::Allowance { shard, further, come_back });
+    }
+
+    /// Sets how many requests may wait for a retry token of a shard that has none left. The limit is 0 until
+    /// it is set.
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
+        self.advance(now);
+        self.events.push_back(Event::AwaitLimit { shard, most });
+    }
+
+    /// Returns the shards whose set of requests waiting for a retry token has changed since the last call.
+    pub fn take_shortages(&mut self) -> Vec<Shortage> {
+        self.scheduler.take_shortages()
+    }
+
+    /// Returns the number of requests that ended unserved since the start, by class and cause.
+    pub fn unserved_by_cause(&self) -> &BTreeMap<(usize, Cause), u64> {
+        self.scheduler.unserved()
+    }
+}
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -12,7 +12,7 @@
 use nix::errno::Errno;
 use records::Clock;
 use socket2::{Domain, Protocol, Socket, Type};
-use transport::{Held, Outlet};
+use transport::{Outlet, SharedDescriptor};
 
 use crate::gateway::Message;
 use crate::socket::{End, SocketId};
@@ -52,7 +52,8 @@
 
     fn from_stream(socket: SocketId, serial: u64, stream: TcpStream, max_response: usize) -> Arc<Connection> {
         let stream = Arc::new(stream);
-        let outlet = Arc::new(Outlet::retried(stream.clone(), max_response + MAX_UNSENT));
+        let outlet =
+            Arc::new(Outlet::from_shared_with_owner_flushes(stream.clone(), max_response + MAX_UNSENT));
         let (closed, unhandled_input) = (AtomicBool::new(false), AtomicBool::new(false));
         let (read_permit, waker) = (Semphore::new(0), Mutex::new(None));
         Arc::new(Connection { socket, serial, stream, outlet, closed, unhandled_input, read_permit, waker })
@@ -138,7 +139,7 @@
 
     /// Reads until the connection ends; returns how it ended.
     fn read(&self, clock: Clock, inbox: &Sender<Message>, connecting: bool) -> End {
-        let Ok(io) = CoIo::new(Held(self.stream.clone())) else { return End::Broken };
+        let Ok(io) = CoIo::new(SharedDescriptor(self.stream.clone())) else { return End::Broken };
         *self.waker.lock().unwrap_or_else(|p| p.into_inner()) = Some(io.waker());
         let (socket, serial) = (self.socket, self.serial);
         if connecting {
@@ -237,7 +238,7 @@
 
     #[test]
     fn closing_a_connecting_socket_ends_its_reader_without_a_wakeup_from_the_system() {
-        task::set_up();
+        task::init_runtime();
         let (inbox, messages) = channel();
         let node = SocketId::Node(1);
         let connection = Connection::from_stream(node, 7, unconnectable_stream(), 0);
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
-use dispatch::{AttemptId, Dispatcher, Step, Verdict};
+use dispatch::{AttemptId, Command, Dispatcher, Verdict};
 use http1::{Incoming, Limits, Request};
 use profile::Service;
 
@@ -206,14 +206,16 @@
 
     /// Returns the number of requests without a final response.
     pub fn open_requests(&self) -> usize {
-        self.dispatcher.open()
+        self.dispatcher.open_requests()
     }
 
     /// Returns the number of entries in all tables except the log lines not taken yet. Tests use it to find
     /// leaks.
     pub fn table_entries(&self) -> usize {
         let nodes = self.dispatcher.node_views().len() + self.nodes.len();
-        let requests = self.dispatcher.open() + self.dispatcher.out().count() + self.open_request_ids.len();
+        let requests = self.dispatcher.open_requests()
+            + self.dispatcher.attempts_in_flight().count()
+            + self.open_request_ids.len();
         self.clients.len()
             + self.client_timers.len()
             + nodes
@@ -282,7 +284,7 @@
         let SocketId::Node(id) = socket else { return };
         if let Some((attempt, node)) = self.connections.take_unusable(id) {
             self.send_attempt(now, attempt, node);
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
     }
 
@@ -331,7 +333,7 @@
             remaining.into_iter().for_each(|id| self.close_client(now, id));
         }
         while self.dispatcher.tick(now) {
-            self.run_dispatcher_steps(now);
+            self.run_dispatcher_commands(now);
         }
         while let Some((id, update)) = self.connections.tick(now) {
             self.apply_update(now, id, update, false);
@@ -344,7 +346,7 @@
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP_INTERVAL;
             self.out_of_descriptors = false;
-            for node in self.dispatcher.forget_gone() {
+            for node in self.dispatcher.remove_gone_nodes() {
                 self.nodes.remove(&node);
                 self.gone_nodes.remove(&node);
                 let idle = self.connections.forget_node(node);
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -105,7 +105,7 @@
             request_for_decisions.patience = request_for_decisions.patience.min(shutdown - now).max(0);
         }
         let deadline = now + request_for_decisions.patience;
-        let request = self.dispatcher.take(
+        let request = self.dispatcher.submit(
             now,
             request_for_decisions,
             Pending { client: id, admitted, received_at, deadline, attempts: AttemptRecords::default() },
@@ -114,7 +114,7 @@
             client.open_request = Some((request, keep));
             self.client_timers.remove(client, id);
         }
-        self.run_dispatcher_steps(now);
+        self.run_dispatcher_commands(now);
     }
 
     /// Handles a client connection's timer: no whole request came in time, it was idle for too long, or
--- a/crates/platform/src/machine/shutdown.rs
+++ b/crates/platform/src/machine/shutdown.rs
@@ -37,8 +37,8 @@
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
             if let Some(deadline) = self.shutdown_deadline() {
-                self.dispatcher.hasten(now, deadline);
-                self.run_dispatcher_steps(now);
+                self.dispatcher.cap_deadlines(now, deadline);
+                self.run_dispatcher_commands(now);
             }
         }
     }
--- a/crates/platform/src/machine/summary.rs
+++ b/crates/platform/src/machine/summary.rs
@@ -12,14 +12,14 @@
             self.clients.len(),
             self.connections.len(),
             self.nodes.len(),
-            self.dispatcher.open(),
-            c.taken,
+            self.dispatcher.open_requests(),
+            c.accepted,
             c.served,
             c.refused,
             c.failed,
             c.withdrawn,
             c.sent,
-            c.further,
+            c.retries,
             c.late,
             self.rejected,
             self.unserved_counts(),
@@ -30,7 +30,7 @@
     /// Formats the requests that ended unserved as `class:cause=count`.
     fn unserved_counts(&self) -> String {
         let classes = &self.service.classes;
-        let counts = self.dispatcher.unserved().iter();
+        let counts = self.dispatcher.unserved_by_cause().iter();
         let words: Vec<String> = counts
             .map(|((class, cause), count)| {
                 let name = classes.get(*class).map_or("?", |c| c.name.as_str());
