--- a/crates/platform/examples/unanswered_cost.rs
+++ b/crates/platform/examples/unanswered_cost.rs
@@ -19,12 +19,12 @@
 
 /// The module path that `unanswered.rs` imports.
 mod socket {
-    pub(crate) use platform::End;
+    pub(crate) use platform::ConnectionEnd;
 }
 
 use common::{TestGateway, ok_response, read_request};
 use decisions::{NodeId, Outcome};
-use platform::{End, SocketId};
+use platform::{ConnectionEnd, SocketId};
 use unanswered::AttemptRecords;
 
 /// Requests per round, measured rounds, and warm-up rounds.
@@ -119,7 +119,7 @@
         gateway.connecting_to_nodes().into_iter().for_each(|node| gateway.establish(node));
         let node = gateway.written.keys().copied().find(|socket| matches!(socket, SocketId::Node(_)));
         gateway.receive(node.expect("its request is out"), &answer);
-        gateway.end_with(client, End::Orderly);
+        gateway.end_with(client, ConnectionEnd::Orderly);
         gateway.finish_cooldown();
         gateway.written.clear();
         gateway.closed.clear();
@@ -134,7 +134,7 @@
         let client = gateway.connect_client();
         gateway.receive(client, read_request(&format!("{name}{n:015x}"), 0));
         gateway.connecting_to_nodes().into_iter().for_each(|node| gateway.establish(node));
-        gateway.end_with(client, End::Orderly);
+        gateway.end_with(client, ConnectionEnd::Orderly);
         gateway.written.clear();
         gateway.closed.clear();
     }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -15,7 +15,7 @@
 use transport::{Outlet, SharedDescriptor};
 
 use crate::gateway::Message;
-use crate::socket::{End, SocketId};
+use crate::socket::{ConnectionEnd, SocketId};
 
 /// Size of the read buffer in bytes.
 const READ_BUFFER: usize = 16 << 10;
@@ -121,14 +121,14 @@
     /// later. Where the reader had seen the first and the writer not yet the second, a response without a
     /// length counted as complete although its node never got the whole request. The cost is that such a
     /// response from a node that responds early isn't served.
-    fn classify_end(&self, seen: End) -> End {
-        let is_early = seen == End::Orderly && self.is_to_node() && self.outlet.is_pending();
+    fn classify_end(&self, seen: ConnectionEnd) -> ConnectionEnd {
+        let is_early = seen == ConnectionEnd::Orderly && self.is_to_node() && self.outlet.is_pending();
         if is_early {
             self.outlet.close();
         }
         match seen {
-            _ if self.outlet.was_cut() => End::Cut,
-            _ if is_early => End::Broken,
+            _ if self.outlet.was_cut() => ConnectionEnd::Cut,
+            _ if is_early => ConnectionEnd::Broken,
             seen => seen,
         }
     }
@@ -138,17 +138,17 @@
     }
 
     /// Reads until the connection ends; returns how it ended.
-    fn read(&self, clock: Clock, inbox: &Sender<Message>, connecting: bool) -> End {
-        let Ok(io) = CoIo::new(SharedDescriptor(self.stream.clone())) else { return End::Broken };
+    fn read(&self, clock: Clock, inbox: &Sender<Message>, connecting: bool) -> ConnectionEnd {
+        let Ok(io) = CoIo::new(SharedDescriptor(self.stream.clone())) else { return ConnectionEnd::Broken };
         *self.waker.lock().unwrap_or_else(|p| p.into_inner()) = Some(io.waker());
         let (socket, serial) = (self.socket, self.serial);
         if connecting {
             loop {
                 match self.stream.take_error() {
-                    Ok(None) if self.closed.load(Ordering::SeqCst) => return End::Broken,
+                    Ok(None) if self.closed.load(Ordering::SeqCst) => return ConnectionEnd::Broken,
                     Ok(None) if self.is_established() => break,
                     Ok(None) => io.wait_io(),
-                    Ok(Some(_)) | Err(_) => return End::Broken,
+                    Ok(Some(_)) | Err(_) => return ConnectionEnd::Broken,
                 };
             }
             let _ = inbox.send(Message::Up { socket, serial });
@@ -160,11 +160,11 @@
             // The buffer is allocated per read, so that a connection without traffic holds none.
             let mut buffer = vec![0; READ_BUFFER];
             match (&*self.stream).read(&mut buffer) {
-                Ok(0) => return End::Orderly,
+                Ok(0) => return ConnectionEnd::Orderly,
                 // A client that sent a request and closed before it was read would be admitted and its
                 // attempt started long afterwards; a client that has closed its connection waits for nothing.
                 Ok(_) if matches!(self.socket, SocketId::Client(_)) && self.is_at_end() => {
-                    return End::Orderly;
+                    return ConnectionEnd::Orderly;
                 }
                 Ok(n) => {
                     self.unhandled_input.store(true, Ordering::SeqCst);
@@ -178,10 +178,10 @@
                     io.wait_io();
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return End::Broken,
+                Err(_) => return ConnectionEnd::Broken,
             }
         }
-        End::Broken
+        ConnectionEnd::Broken
     }
 
     /// Lets the reader continue.
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -19,7 +19,7 @@
 use crate::connection::Connection;
 use crate::machine::Machine;
 use crate::resource_limits::ResourceLimits;
-use crate::socket::{End, Output, SocketId};
+use crate::socket::{ConnectionEnd, Output, SocketId};
 use crate::stall::StallDetector;
 
 /// Messages handled before the timers are checked again.
@@ -69,7 +69,7 @@
     Ended {
         socket: SocketId,
         serial: u64,
-        end: End,
+        end: ConnectionEnd,
     },
     Tick,
     Command(Command),
@@ -303,7 +303,7 @@
             }
             Err(error) => {
                 tracing::debug!(?socket, %error, "cannot open the connection");
-                self.machine.connection_ended(now, socket, End::Cut);
+                self.machine.connection_ended(now, socket, ConnectionEnd::Cut);
             }
         }
     }
@@ -363,7 +363,8 @@
                     self.close(socket);
                     // Reported as unsent only if the write certainly didn't complete; otherwise the rest may
                     // have gone out in this moment.
-                    let end = if connection.outlet.was_cut() { End::Cut } else { End::Broken };
+                    let end =
+                        if connection.outlet.was_cut() { ConnectionEnd::Cut } else { ConnectionEnd::Broken };
                     self.machine.connection_ended(now, socket, end);
                 }
             }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -39,4 +39,4 @@
 pub use machine::Machine;
 pub use outcome::{attempt_outcome, reported_load};
 pub use resource_limits::ResourceLimits;
-pub use socket::{End, Output, SocketId};
+pub use socket::{ConnectionEnd, Output, SocketId};
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -24,7 +24,7 @@
 use crate::node_connections::{ConnectionChoice, ConnectionUpdate, NodeConnections};
 use crate::outcome::reported_load;
 use crate::resource_limits::ResourceLimits;
-use crate::socket::{End, Output, SocketId};
+use crate::socket::{ConnectionEnd, Output, SocketId};
 use crate::unanswered::{AttemptRecords, Cause, Unanswered, UnansweredLog};
 
 /// Limits on messages from clients and nodes; the protocol's bodies hold up to 64 KiB.
@@ -305,7 +305,7 @@
     }
 
     /// Handles a connection that ended or could not be established.
-    pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: End) {
+    pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: ConnectionEnd) {
         self.out_of_descriptors = false;
         match socket {
             SocketId::Client(id) => self.client_ended(now, id, end),
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -198,7 +198,7 @@
     }
 
     /// Handles a client connection that ended: its open request is withdrawn.
-    pub(super) fn client_ended(&mut self, now: Micros, id: u64, end: End) {
+    pub(super) fn client_ended(&mut self, now: Micros, id: u64, end: ConnectionEnd) {
         let Some(client) = self.clients.remove(&id) else { return };
         self.client_timers.remove(&client, id);
         if let Some((request, _)) = client.open_request {
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -10,7 +10,7 @@
 use dispatch::AttemptId;
 use http1::{Answer, AnswerDecoder, Limits};
 
-use crate::socket::End;
+use crate::socket::ConnectionEnd;
 use cooldown::COOLDOWN;
 
 /// Number of a connection.
@@ -226,7 +226,7 @@
         let Phase::Busy(attempt) = connection.phase else {
             // Input without a request is a second response or noise, and the next request would be answered
             // with it. The connection is closed, whatever the node sent; the cost is a new connection.
-            return ConnectionUpdate { close: true, ..self.ended(id, End::Cut) };
+            return ConnectionUpdate { close: true, ..self.ended(id, ConnectionEnd::Cut) };
         };
         let buffered_before = connection.decoder.held();
         connection.decoder.receive(bytes);
@@ -279,7 +279,7 @@
     }
 
     /// Handles a connection that ended or could not be established.
-    pub(crate) fn ended(&mut self, id: ConnectionId, end: End) -> ConnectionUpdate {
+    pub(crate) fn ended(&mut self, id: ConnectionId, end: ConnectionEnd) -> ConnectionUpdate {
         let Some(mut connection) = self.remove(id) else { return ConnectionUpdate::default() };
         let node = connection.node;
         let ended = match connection.phase {
@@ -292,9 +292,11 @@
             Phase::Connecting(Some(attempt)) => Some((attempt, Outcome::Unreachable, None)),
             Phase::Busy(attempt) => Some(match end {
                 // A node that has begun to respond has seen enough of the request to have executed something.
-                End::Cut if connection.decoder.is_between() => (attempt, Outcome::Unreachable, None),
-                End::Cut | End::Broken => (attempt, Outcome::Reset, None),
-                End::Orderly => match connection.decoder.end() {
+                ConnectionEnd::Cut if connection.decoder.is_between() => {
+                    (attempt, Outcome::Unreachable, None)
+                }
+                ConnectionEnd::Cut | ConnectionEnd::Broken => (attempt, Outcome::Reset, None),
+                ConnectionEnd::Orderly => match connection.decoder.end() {
                     Some(answer) => (attempt, crate::outcome::attempt_outcome(&answer), Some(answer)),
                     None => (attempt, Outcome::Reset, None),
                 },
@@ -343,7 +345,7 @@
         if self.connections.get(&id).is_some_and(|c| matches!(c.phase, Phase::CoolingDown(_))) {
             return Some((id, self.cooldown_over(now, id)));
         }
-        Some((id, ConnectionUpdate { close: true, ..self.ended(id, End::Cut) }))
+        Some((id, ConnectionUpdate { close: true, ..self.ended(id, ConnectionEnd::Cut) }))
     }
 
     fn remove(&mut self, id: ConnectionId) -> Option<NodeConnection> {
--- a/crates/platform/src/socket.rs
+++ b/crates/platform/src/socket.rs
@@ -18,7 +18,7 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     /// Some of the output was certainly not written, or the connection was never established.
     Cut,
     /// The peer closed its side in an orderly way.
--- a/crates/platform/src/unanswered.rs
+++ b/crates/platform/src/unanswered.rs
@@ -8,7 +8,7 @@
 
 use decisions::{Micros, NodeId, Outcome};
 
-use crate::socket::End;
+use crate::socket::ConnectionEnd;
 
 /// Records kept until they are logged; the oldest are dropped.
 const MAX_RECORDS: usize = 64;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
     /// The client's connection ended.
-    ClientEnded(End),
+    ClientEnded(ConnectionEnd),
     /// The request was answered, but its connection no longer existed.
     NoConnection,
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use platform::{Config, End, Machine, Output, ResourceLimits, SocketId};
+use platform::{Config, ConnectionEnd, Machine, Output, ResourceLimits, SocketId};
 
 pub const LISTEN: &str = "127.0.0.1:0";
 
@@ -196,7 +196,9 @@
                         self.machine.shutdown_write_result(self.now, socket, done)
                     }
                     Report::GaveWay(socket, done) => self.machine.close_result(self.now, socket, done),
-                    Report::Cut(socket) => self.machine.connection_ended(self.now, socket, End::Cut),
+                    Report::Cut(socket) => {
+                        self.machine.connection_ended(self.now, socket, ConnectionEnd::Cut)
+                    }
                 }
             }
             outputs.extend(self.machine.drain_outputs());
@@ -293,10 +295,10 @@
     }
 
     pub fn end(&mut self, socket: SocketId, cut: bool) {
-        self.end_with(socket, if cut { End::Cut } else { End::Broken });
+        self.end_with(socket, if cut { ConnectionEnd::Cut } else { ConnectionEnd::Broken });
     }
 
-    pub fn end_with(&mut self, socket: SocketId, end: End) {
+    pub fn end_with(&mut self, socket: SocketId, end: ConnectionEnd) {
         self.connecting.retain(|(connecting, _)| *connecting != socket);
         self.machine.connection_ended(self.now, socket, end);
         self.perform_outputs();
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use platform::{End, SocketId};
+use platform::{ConnectionEnd, SocketId};
 
 /// Attempts may not be cancelled, and connecting may take two seconds.
 fn without_cancel() -> TestGateway {
@@ -227,7 +227,7 @@
     let (mut gateway, client, node) = gateway_with_sent_request(&write_request("r1", 0, "x"));
     gateway.receive(node, answer);
     assert!(gateway.take_written(client).is_empty(), "a partial response was forwarded");
-    gateway.end_with(node, End::Orderly);
+    gateway.end_with(node, ConnectionEnd::Orderly);
     let served = gateway.take_written(client);
     assert!(served.starts_with("HTTP/1.1 200") && served.ends_with("\r\n\r\nall of it"), "{served}");
     assert!(served.contains("Content-Length: 9\r\n"), "{served}");
@@ -236,7 +236,7 @@
     let short = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nall of it";
     let in_chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nall";
     let in_trailer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nall\r\n0\r\nA: b\r\n";
-    let both = [End::Orderly, End::Broken];
+    let both = [ConnectionEnd::Orderly, ConnectionEnd::Broken];
     let cases = [(answer, &both[1..]), (short, &both[..]), (in_chunk, &both[..]), (in_trailer, &both[..])];
     for (answer, ends) in cases {
         for &end in ends {
--- a/crates/platform/tests/scenario/checker.rs
+++ b/crates/platform/tests/scenario/checker.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use http1::{AnswerDecoder, Incoming, Limits, RequestDecoder};
-use platform::{End, SocketId};
+use platform::{ConnectionEnd, SocketId};
 
 use super::{DRAIN_GRACE, KEY_WINDOW};
 
@@ -160,17 +160,17 @@
         }
     }
 
-    pub fn node_connection_ended(&mut self, socket: SocketId, end: End) {
+    pub fn node_connection_ended(&mut self, socket: SocketId, end: ConnectionEnd) {
         let Some(node) = self.nodes.remove(&socket) else { return };
         let Some((id, n)) = node.request_sent else { return };
         let state = self.requests.get_mut(&id).expect("a client's");
         match (end, node.response_kind) {
             // The response without a length is complete now.
-            (End::Orderly, Some(5)) => {
+            (ConnectionEnd::Orderly, Some(5)) => {
                 self.served.insert(id);
             }
             // The request's last byte was never written.
-            (End::Cut, None) => {
+            (ConnectionEnd::Cut, None) => {
                 state.may_have_run.remove(&n);
             }
             _ => {}
--- a/crates/platform/tests/scenario/mod.rs
+++ b/crates/platform/tests/scenario/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use platform::{End, SocketId};
+use platform::{ConnectionEnd, SocketId};
 
 use crate::common::*;
 use checker::Checker;
@@ -122,7 +122,7 @@
                     self.unread.remove(&client);
                     self.gateway.unread.remove(&client);
                     self.checker.client_gone(client);
-                    self.gateway.end_with(client, End::Orderly);
+                    self.gateway.end_with(client, ConnectionEnd::Orderly);
                     self.clients.retain(|c| *c != client);
                 }
             }
@@ -151,13 +151,13 @@
             }
             Event::NodeConnectionFails(n) => {
                 if let Some(&socket) = pick(&self.gateway.connecting_to_nodes(), n) {
-                    self.gateway.end_with(socket, End::Cut);
+                    self.gateway.end_with(socket, ConnectionEnd::Cut);
                 }
             }
             Event::NodeResponds(n, kind) => self.respond(n, kind),
             Event::NodeConnectionEnds(n, end) => {
                 if let Some(socket) = self.open_node(n) {
-                    let end = [End::Orderly, End::Broken, End::Cut][end];
+                    let end = [ConnectionEnd::Orderly, ConnectionEnd::Broken, ConnectionEnd::Cut][end];
                     self.checker.node_connection_ended(socket, end);
                     self.nodes.remove(&socket);
                     self.gateway.end_with(socket, end);
--- a/crates/platform/tests/unanswered.rs
+++ b/crates/platform/tests/unanswered.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use platform::{End, ResourceLimits};
+use platform::{ConnectionEnd, ResourceLimits};
 
 /// Takes the log lines of requests that ended without a response.
 fn take_lines(gateway: &mut TestGateway) -> Vec<String> {
@@ -14,7 +14,7 @@
 fn a_request_whose_client_disconnected_is_logged_with_its_attempts() {
     let (mut gateway, client, _node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.now += 20_000;
-    gateway.machine.connection_ended(gateway.now, client, End::Broken);
+    gateway.machine.connection_ended(gateway.now, client, ConnectionEnd::Broken);
     gateway.perform_outputs();
     let lines = take_lines(&mut gateway);
     assert_eq!(lines.len(), 1, "{lines:?}");
@@ -28,7 +28,7 @@
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.receive(node, ok_response("1"));
     assert_eq!(gateway.take_statuses(client), [200]);
-    gateway.machine.connection_ended(gateway.now, client, End::Orderly);
+    gateway.machine.connection_ended(gateway.now, client, ConnectionEnd::Orderly);
     gateway.perform_outputs();
     assert!(take_lines(&mut gateway).is_empty());
 }
@@ -41,7 +41,7 @@
     for n in 0..CLIENTS {
         let client = gateway.connect_client();
         gateway.receive(client, read_request(&format!("r{n}"), 0));
-        gateway.machine.connection_ended(gateway.now, client, End::Orderly);
+        gateway.machine.connection_ended(gateway.now, client, ConnectionEnd::Orderly);
         gateway.perform_outputs();
     }
     let lines = take_lines(&mut gateway);
--- a/crates/world/src/world/conn.rs
+++ b/crates/world/src/world/conn.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http1::{AnswerDecoder, RequestDecoder};
-use platform::{End, SocketId};
+use platform::{ConnectionEnd, SocketId};
 
 use super::{AT_ONCE, Event, World};
 use crate::node::ConnId;
@@ -162,7 +162,11 @@
         let Some(socket) = socket else { return };
         self.gateways[g].sockets.remove(&socket);
         if let Some(machine) = &mut self.gateways[g].machine {
-            machine.connection_ended(now, socket, if was_up { End::Broken } else { End::Cut });
+            machine.connection_ended(
+                now,
+                socket,
+                if was_up { ConnectionEnd::Broken } else { ConnectionEnd::Cut },
+            );
             self.drive(g);
         }
     }
