--- a/crates/crowbay/src/serve.rs
+++ b/crates/crowbay/src/serve.rs
@@ -95,7 +95,7 @@
                 return;
             }
             match Site::load(&config) {
-                Ok(site) => stops.try_candidate(site.candidate_options(&name)),
+                Ok(site) => stops.replace_candidate(site.candidate_options(&name)),
                 Err(error) => tracing::error!(%error, "the site file is wrong: the candidate before stays"),
             }
         }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -7,6 +7,7 @@
 
 use transport::Outlet;
 
+/// A client connection: its outlet and its protocol session.
 pub(crate) struct Connection {
     pub(crate) id: ConnectionId,
     pub(crate) outlet: Arc<Outlet>,
--- a/crates/gateway/src/control_plane.rs
+++ b/crates/gateway/src/control_plane.rs
@@ -12,6 +12,7 @@
 use crate::message::{Inbox, Message};
 use crate::status::ControlPlaneStatus;
 
+/// The running follower.
 pub(crate) struct ControlPlane(Follower);
 
 impl ControlPlane {
--- a/crates/gateway/src/coordination.rs
+++ b/crates/gateway/src/coordination.rs
@@ -26,6 +26,7 @@
     pub candidate: Option<ShadowOptions>,
 }
 
+/// The subsystems that work together with other gateways.
 pub(crate) struct Coordination {
     pub(crate) membership: Membership,
     pub(crate) retry_cap: Option<RetryCap>,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -47,6 +47,7 @@
 /// Interval at which associations and node connections are checked against their timeouts.
 const HOUSEKEEPING_INTERVAL: Micros = 50_000;
 
+/// A client connection as the engine knows it.
 struct Client {
     connection: Arc<Connection>,
     admission: Option<Admission>,
@@ -74,6 +75,7 @@
     pub(crate) control_plane: Option<ControlPlane>,
 }
 
+/// The core and everything around it that only the engine's coroutine touches.
 pub(crate) struct Engine {
     options: GatewayOptions,
     address: String,
--- a/crates/gateway/src/front_end.rs
+++ b/crates/gateway/src/front_end.rs
@@ -3,6 +3,7 @@
 use std::io::Read;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
 use bytes::BytesMut;
 use limits::{Gate, Opened};
@@ -18,6 +19,9 @@
 /// Bytes read at a time.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+
 /// State shared by all client connections.
 pub(crate) struct FrontEnd {
     pub(crate) target: Mutex<Target>,
@@ -50,7 +54,7 @@
                     tracing::warn!(%error, "a connection could not be accepted");
                     // A plain sleep blocks one of the threads briefly; a timed wait of the runtime might
                     // never end (see `transport::Ticker`).
-                    std::thread::sleep(std::time::Duration::from_millis(5));
+                    std::thread::sleep(ACCEPT_RETRY_PAUSE);
                     continue;
                 }
             };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -26,6 +26,18 @@
 use crate::status::{ControlAnswer, ControlRequest};
 use transport::Ticker;
 
+/// How long a request on the control socket may wait for the engine's answer.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time beyond the stop timeout after which a stop counts as failed.
+const STOP_MARGIN: Duration = Duration::from_secs(2);
+/// Timeout of the connection that wakes the listener.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval and number of checks for client connections that are still closing.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+const CLOSE_CHECKS: u32 = 100;
+/// How long to wait for answers on the control socket that are still being sent.
+const CONTROL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// Why a gateway did not start or did not answer.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
@@ -138,7 +150,7 @@
 
     /// Replaces the candidate on trial, or ends the trial; a trial of the same candidate continues. Without
     /// `[fleet]` there is no trial.
-    pub fn try_candidate(&self, candidate: Option<shadow::ShadowOptions>) {
+    pub fn replace_candidate(&self, candidate: Option<shadow::ShadowOptions>) {
         self.inbox.send(Message::ReplaceCandidate(candidate.map(Box::new)));
     }
 
@@ -161,17 +173,17 @@
     pub fn stop(&self) -> bool {
         let (done, stopped) = thread_mpsc::channel();
         self.inbox.send(Message::Stop(done));
-        let in_time = stopped.recv_timeout(self.stop_timeout + Duration::from_secs(2)).is_ok();
+        let in_time = stopped.recv_timeout(self.stop_timeout + STOP_MARGIN).is_ok();
         // Wakes the listener, so that it ends.
-        let _ = std::net::TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
+        let _ = std::net::TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT);
         // The last answers may still be leaving this process.
-        for _ in 0..100 {
+        for _ in 0..CLOSE_CHECKS {
             if self.front_end.gate().connections().0 == 0 {
                 break;
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(CLOSE_CHECK_INTERVAL);
         }
-        self.control.settle(Duration::from_secs(1));
+        self.control.settle(CONTROL_DRAIN_TIMEOUT);
         in_time
     }
 
@@ -218,7 +230,7 @@
 fn ask(inbox: &Inbox, request: ControlRequest) -> Result<ControlAnswer, GatewayError> {
     let (reply, answer) = thread_mpsc::channel();
     inbox.send(Message::Control(request, reply));
-    let answer = answer.recv_timeout(Duration::from_secs(10)).map_err(|_| GatewayError::Stopped)?;
+    let answer = answer.recv_timeout(CONTROL_TIMEOUT).map_err(|_| GatewayError::Stopped)?;
     answer.map_err(GatewayError::Refused)
 }
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -65,6 +65,7 @@
     format!("{}/{:016x}", life.incarnation.0, life.nonce.0)
 }
 
+/// The membership protocol of this gateway, its published view and the log of its changes.
 pub(crate) struct Membership {
     fleet: Fleet,
     peer_network: PeerNetwork,
--- a/crates/gateway/src/node_connection/connect.rs
+++ b/crates/gateway/src/node_connection/connect.rs
@@ -12,10 +12,15 @@
 use super::{ADMIN_QUEUE_ENTRIES, MAX_PDU_DATA, MAX_UNSENT_BYTES, NodeConnection, Phase};
 use crate::message::Message;
 
+/// Bytes of in-capsule data assumed for the admin queue.
+const ADMIN_IN_CAPSULE_BYTES: u32 = 8192;
+/// Bytes read at a time during the handshake.
+const HANDSHAKE_BUFFER_BYTES: usize = 8192;
+
 impl NodeConnection {
     /// Connects and completes the handshake of both queues; `check_timeouts` ends it if it takes too long.
     pub(super) fn connect(self: &Arc<Self>) -> Result<TcpStream, ConnectError> {
-        let (mut admin_stream, admin, ready) = self.handshake(0, 0, 8192)?;
+        let (mut admin_stream, admin, ready) = self.handshake(0, 0, ADMIN_IN_CAPSULE_BYTES)?;
         let HostEvent::Ready { cntlid, limits: Some(limits) } = ready else {
             return Err(ConnectError::NotIdentified);
         };
@@ -78,7 +83,7 @@
             max_data: MAX_PDU_DATA,
         };
         let mut initiator = Initiator::new(options, &mut out);
-        let (mut buffer, mut events) = (vec![0; 8192], Vec::new());
+        let (mut buffer, mut events) = (vec![0; HANDSHAKE_BUFFER_BYTES], Vec::new());
         loop {
             stream.write_all(&out)?;
             out.clear();
--- a/crates/gateway/src/node_connection/replies.rs
+++ b/crates/gateway/src/node_connection/replies.rs
@@ -10,10 +10,13 @@
 use super::{NodeConnection, READ_BUFFER_BYTES, State};
 use crate::message::Message;
 
+/// Bytes read at a time from the admin queue.
+const ADMIN_BUFFER_BYTES: usize = 1024;
+
 impl NodeConnection {
     /// Reads the admin queue until its connection ends.
     pub(super) fn read_admin(&self, stream: &mut TcpStream) {
-        let (mut buffer, mut events) = (vec![0; 1024], Vec::new());
+        let (mut buffer, mut events) = (vec![0; ADMIN_BUFFER_BYTES], Vec::new());
         loop {
             let n = match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => return,
@@ -69,6 +72,7 @@
     }
 }
 
+/// The NVMe submission of an attempt, with `user` as the number under which its reply is found.
 pub(super) fn submission_for(send: &OutgoingAttempt, user: u64) -> Submission {
     let (opcode, expect) = match send.opcode {
         Opcode::Read => (nvme::io::READ, send.bytes),
@@ -82,7 +86,7 @@
     Submission { sqe, data: send.data.clone(), expect, user }
 }
 
-/// The end of an attempt as told by a node's reply. Only the status *full* proves that a command never ran.
+/// The end of an attempt as reported by a node's reply. Only the status *full* proves that a command never ran.
 fn end_for_reply(reply: Reply) -> AttemptEnd {
     let outcome = if reply.status.is_success() {
         Outcome::Served
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -24,6 +24,15 @@
 use crate::peer_network::PeerNetwork;
 use crate::write_journal::WriteJournal;
 
+/// File of the recovery state that this gateway holds, orders included, in its state folder.
+const STATE_FILE: &str = "word";
+/// File of the write journal, in the gateway's state folder.
+const JOURNAL_FILE: &str = "hand";
+/// Pause before a place that could not be read back is read again.
+const READ_BACK_RETRY_PAUSE: Micros = 200_000;
+/// Failed reads of a place after which its key is released with its outcome unknown.
+const READ_BACK_TRIES: u32 = 5;
+
 /// Kind of questions for a peer's recovery state, and of notes that announce one's own.
 pub(crate) const RECOVERY_STATE: Kind = Kind(1);
 
@@ -37,6 +46,7 @@
     ReadBack(InHand),
 }
 
+/// The recovery rules of this gateway, with the state that they act on.
 pub(crate) struct RecoveryDriver {
     recovery: Recovery,
     admission: Admission,
@@ -68,7 +78,7 @@
         inbox: Inbox,
     ) -> Result<RecoveryDriver, GatewayError> {
         let settings = &catalogue.settings;
-        let orders_file = folder.join("word");
+        let orders_file = folder.join(STATE_FILE);
         let previous: Option<Word> = match filelog::read(&orders_file)? {
             Some(bytes) => Some(
                 wire::decode(&bytes).ok_or_else(|| GatewayError::InvalidOrdersFile(orders_file.clone()))?,
@@ -78,7 +88,7 @@
         let max_execution_time = options.max_execution_time.as_micros() as Micros;
         let journal = if options.journal {
             Some(WriteJournal::open(
-                &folder.join("hand"),
+                &folder.join(JOURNAL_FILE),
                 seed ^ now as u64,
                 options.power_cut_mark,
                 max_execution_time,
@@ -102,8 +112,8 @@
             peers: names,
             ask_for: options.peer_timeout.as_micros() as Micros,
             rest: max_execution_time,
-            ask_again: 200_000,
-            read_tries: 5,
+            ask_again: READ_BACK_RETRY_PAUSE,
+            read_tries: READ_BACK_TRIES,
             plant: Plant::None,
         };
         let peer_timeout = rules.ask_for;
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -28,6 +28,7 @@
     pub(crate) is_retry: bool,
 }
 
+/// The fleet's cap on retries, with what has been reported to it and to the decision module.
 pub(crate) struct RetryCap {
     cap: Cap,
     peer_network: PeerNetwork,
--- a/crates/gateway/src/shadow_trial.rs
+++ b/crates/gateway/src/shadow_trial.rs
@@ -25,6 +25,9 @@
 /// Shortest interval between two summaries for operators.
 const SUMMARY_INTERVAL: Micros = 1_000_000;
 
+/// File of the trial's counts, in the gateway's state folder.
+const COUNTS_FILE: &str = "shadow";
+
 /// A sampled read in flight.
 struct SampledRead {
     nsid: u32,
@@ -44,6 +47,7 @@
     pub(crate) blocks: u32,
 }
 
+/// The trial of one candidate: its sampled reads, the copies in flight and the results so far.
 pub(crate) struct ShadowTrial {
     shadow: Shadow,
     options: ShadowOptions,
@@ -79,7 +83,7 @@
         now: Micros,
         seed: u64,
     ) -> Result<ShadowTrial, GatewayError> {
-        let file = folder.join("shadow");
+        let file = folder.join(COUNTS_FILE);
         let stored_counts = filelog::read(&file)?;
         let shadow = Shadow::new(options.clone(), peer_network.life(), stored_counts.as_deref(), now, seed)?;
         let counts_writer = start_counts_writer(file).map_err(GatewayError::Start)?;
