--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers of operations.
 
 use bytes::BytesMut;
-use decisions::{Group, Repeats};
+use decisions::{DedupScope, Idempotency};
 use dispatch::Verdict;
 
 use crate::catalogue::Catalogue;
@@ -54,11 +54,14 @@
     /// client's write may have run, a retry is not safe, whatever the class's group. These clients therefore
     /// see more failures and fewer refusals.
     pub(crate) fn retry_is_safe(&self, open: &OpenOperation) -> bool {
-        let repeats = self.catalogue.settings.classes[open.class].repeats;
+        let idempotency = self.catalogue.settings.classes[open.class].idempotency;
         let is_deduplicated =
-            open.has_client_token && matches!(repeats, Repeats::Keyed { group: Group::All, .. });
+            open.has_client_token && matches!(idempotency, Idempotency::Keyed { scope: DedupScope::All, .. });
         let never_ran = open.pieces.iter().all(|piece| piece.attempts_possibly_run == 0);
-        never_ran || is_deduplicated || open.operation.opcode != Opcode::Write || repeats == Repeats::Safe
+        never_ran
+            || is_deduplicated
+            || open.operation.opcode != Opcode::Write
+            || idempotency == Idempotency::Safe
     }
 
     /// Counts an operation that ended unserved and keeps a view of it.
--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -152,7 +152,7 @@
     /// Returns the size of a part in units: its bytes rounded up to whole units, at least one and at most the
     /// settings' `most_units`.
     pub fn units(&self, bytes: u64) -> f64 {
-        (bytes.div_ceil(self.unit_bytes).max(1) as f64).min(self.settings.most_units.max(1.0))
+        (bytes.div_ceil(self.unit_bytes).max(1) as f64).min(self.settings.max_request_units.max(1.0))
     }
 }
 
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -95,7 +95,7 @@
         if let Some(limit) = retry_cap.new_waiting_limit(allowance.shard) {
             self.core.limit_token_waiters(now, shard, limit);
         }
-        self.core.set_retry_tokens(now, shard, allowance.further, allowance.come_back, &mut self.effects);
+        self.core.set_retry_tokens(now, shard, allowance.retries, allowance.retry_after, &mut self.effects);
         true
     }
 
--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -133,14 +133,14 @@
             AdmissionOptions {
                 cold_units: settings.cold_units,
                 cold_window: settings.cold_window,
-                cold_from: settings.cold_from,
+                cold_from: settings.cold_start_fraction,
                 warm_after: settings.warm_after,
                 gateways: settings.hosts,
-                most_advice: settings.most_advice.max(1),
+                most_advice: settings.max_retry_after.max(1),
             },
             seed,
         );
-        let (warm_after, max_retry_delay) = (settings.warm_after, settings.most_advice.max(1));
+        let (warm_after, max_retry_delay) = (settings.warm_after, settings.max_retry_after.max(1));
         Ok(RecoveryDriver {
             recovery,
             admission,
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
 use dispatch::{AttemptId, Command, Dispatcher, Verdict};
-use http1::{Incoming, Limits, Request};
+use http1::{Limits, Request, RequestEvent};
 use profile::Service;
 
 use crate::admission::{AdmittedRequest, Rejection, admit};
@@ -22,7 +22,7 @@
 use crate::discovery::{self, Discovery};
 use crate::endpoint::{EndpointList, Zones};
 use crate::node_connections::{ConnectionChoice, ConnectionUpdate, NodeConnections};
-use crate::outcome::load_of;
+use crate::outcome::reported_load;
 use crate::resource_limits::ResourceLimits;
 use crate::socket::{End, Output, SocketId};
 use crate::unanswered::{AttemptRecords, Cause, Unanswered, UnansweredLog};
@@ -132,7 +132,7 @@
         let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
-            cancel_attempts: config.settings.cancel,
+            cancel_attempts: config.settings.cancellation,
             settings: config.settings.clone(),
             limits,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -93,9 +93,9 @@
         now: Micros,
         attempt: AttemptId,
         outcome: Outcome,
-        answer: Option<&http1::Answer>,
+        answer: Option<&http1::Response>,
     ) {
-        let load = answer.and_then(load_of);
+        let load = answer.and_then(reported_load);
         if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
             pending.attempts.ended(now, attempt.n, outcome);
         }
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -14,21 +14,21 @@
 use crate::shard::ShardState;
 use crate::shard_cap::{RequestBackoff, ShardCap};
 use crate::sketch::RepeatSketch;
-use crate::snapshot::{Counts, ShardLook};
+use crate::snapshot::{Counts, ShardSnapshot};
 
 /// An event that the cap is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// An attempt was sent.
-    Sent {
+    AttemptSent {
         /// The shard it was sent to.
         shard: u32,
         /// Whether it is a retry, which needs a token: an attempt after the first of its request, any
         /// attempt of a request recognized as a repeat, or a shadow copy.
-        further: bool,
+        is_retry: bool,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The shard it was sent to.
         shard: u32,
         /// A node served it.
@@ -37,21 +37,21 @@
         refused: bool,
     },
     /// A request ended here unserved: a later one with the same key, here or at a peer, is its repeat.
-    Unserved {
-        /// Its key, from [`crate::key_of`].
+    RequestUnserved {
+        /// Its key, from [`crate::request_key`].
         key: u64,
     },
     /// A request was rejected for lack of tokens.
-    Wanted {
+    RetryRejected {
         /// Its shard.
         shard: u32,
         /// The worth of answering it.
         worth: f64,
         /// The time that remained for it, microseconds.
-        left: Micros,
+        remaining: Micros,
     },
     /// The number of requests that wait in the scheduler for a token has changed.
-    Waiting {
+    RetriesWaiting {
         /// Their shard.
         shard: u32,
         /// How many wait now.
@@ -61,16 +61,16 @@
     },
     /// A node of a shard is cold, silent or refusing, as seen by this gateway or reported by the
     /// membership view; or none is any more.
-    Recovers {
+    NodeTrouble {
         /// The shard.
         shard: u32,
         /// Whether there is such a node.
-        on: bool,
+        present: bool,
     },
     /// The peers that may be asked for tokens, from the membership view.
-    Peers(Vec<PeerName>),
+    PeersChanged(Vec<PeerName>),
     /// A message of [`crate::KIND`] arrived from a peer.
-    Heard {
+    MessageReceived {
         /// The sender.
         from: PeerName,
         /// The sender's life.
@@ -79,7 +79,7 @@
         body: Vec<u8>,
     },
     /// This gateway continues under a new life: its accounts start over, empty for a window.
-    Renewed(Life),
+    LifeRenewed(Life),
     /// Time has passed.
     Tick,
 }
@@ -90,9 +90,9 @@
     /// The shard.
     pub shard: u32,
     /// Retries that may be sent from now on.
-    pub further: u32,
+    pub retries: u32,
     /// How long rejected requests should stay away before they retry, microseconds.
-    pub come_back: Micros,
+    pub retry_after: Micros,
 }
 
 /// What the caller has to do, in this order: a lowered allowance precedes the message that leases the
@@ -109,20 +109,20 @@
     /// Notify the scheduler of an allowance, which replaces the one before.
     Allow(Allowance),
     /// The state of a shard changed, or its step within [`ShardState::Widening`].
-    Entered {
+    StateChanged {
         /// The shard.
         shard: u32,
         /// The new state.
         state: ShardState,
         /// The reason, for the log and the status page.
-        why: &'static str,
+        reason: &'static str,
     },
     /// Part of a message was rejected; for the log, once for each reason and peer.
-    TurnedAway {
+    MessageRejected {
         /// The sender.
         from: PeerName,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -235,39 +235,41 @@
     /// Processes an event and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         let step_ended = self.advance(now, out);
-        let only_earns = !step_ended && matches!(input, Input::Ended { .. });
+        let only_earns = !step_ended && matches!(input, Input::AttemptEnded { .. });
         // Nothing expires between two steps, and most events concern one shard.
         let event_shard = match input {
-            Input::Sent { shard, .. }
-            | Input::Ended { shard, .. }
-            | Input::Wanted { shard, .. }
-            | Input::Waiting { shard, .. } => Some(shard),
+            Input::AttemptSent { shard, .. }
+            | Input::AttemptEnded { shard, .. }
+            | Input::RetryRejected { shard, .. }
+            | Input::RetriesWaiting { shard, .. } => Some(shard),
             _ => None,
         };
         match input {
-            Input::Sent { shard, further } => self.record_sent(now, shard, further),
-            Input::Ended { shard, served, refused: _ } => self.record_ended(now, shard, served),
-            Input::Unserved { key } => self.sketch.add(now, key),
-            Input::Wanted { shard, worth, left } => self.record_rejected(now, shard, worth, left),
-            Input::Waiting { shard, waiting, worth } => {
+            Input::AttemptSent { shard, is_retry } => self.record_sent(now, shard, is_retry),
+            Input::AttemptEnded { shard, served, refused: _ } => self.record_ended(now, shard, served),
+            Input::RequestUnserved { key } => self.sketch.add(now, key),
+            Input::RetryRejected { shard, worth, remaining } => {
+                self.record_rejected(now, shard, worth, remaining)
+            }
+            Input::RetriesWaiting { shard, waiting, worth } => {
                 if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
                     shard_cap.set_waiting(now, waiting, worth);
                 }
             }
-            Input::Recovers { shard, on } => {
+            Input::NodeTrouble { shard, present } => {
                 if let Some(shard_cap) = self.shard_caps.get_mut(&shard) {
-                    shard_cap.health.set_own_observation(on);
+                    shard_cap.health.set_own_observation(present);
                     self.evaluate_states(now, 0, out);
                 }
             }
-            Input::Peers(mut peers) => {
+            Input::PeersChanged(mut peers) => {
                 peers.retain(|p| *p != self.options.name);
                 peers.truncate(self.options.members.saturating_sub(1));
                 self.peers = peers;
                 self.update_base_tokens();
             }
-            Input::Heard { from, life: _, body } => self.receive(now, from, &body, out),
-            Input::Renewed(life) => self.start_new_life(now, life),
+            Input::MessageReceived { from, life: _, body } => self.receive(now, from, &body, out),
+            Input::LifeRenewed(life) => self.start_new_life(now, life),
             Input::Tick => {}
         }
         let overassigned = !only_earns && self.fleet.available() / ONE_TOKEN < self.assigned;
@@ -310,7 +312,7 @@
 
     /// Whether tokens may have expired since the last event. If so, the allowances are no longer valid
     /// and [`Input::Tick`] has to be passed first.
-    pub fn is_behind(&self, now: Micros) -> bool {
+    pub fn needs_tick(&self, now: Micros) -> bool {
         now >= self.next_step
     }
 
@@ -328,8 +330,8 @@
 
     /// How many requests may wait in the scheduler for a token of a shard, until its next
     /// [`Output::Allow`].
-    pub fn may_wait(&self, shard: u32) -> u32 {
-        self.shard_caps.get(&shard).map_or(0, |shard_cap| shard_cap.may_wait)
+    pub fn wait_limit(&self, shard: u32) -> u32 {
+        self.shard_caps.get(&shard).map_or(0, |shard_cap| shard_cap.wait_limit)
     }
 
     /// Totals of this life.
@@ -338,49 +340,50 @@
     }
 
     /// A snapshot of each shard, followed by one of all shards together.
-    pub fn look(&self, now: Micros) -> Vec<ShardLook> {
+    pub fn snapshot(&self, now: Micros) -> Vec<ShardSnapshot> {
         let whole_tokens = |amount: u64| amount as f64 / ONE_TOKEN as f64;
-        let snapshot = |account: &Account, shard| {
+        let account_snapshot = |account: &Account, shard| {
             let (mut account, totals) = (account.clone(), account.totals());
             account.settle(now);
-            ShardLook {
+            ShardSnapshot {
                 shard,
                 state: ShardState::Normal,
                 since: 0,
-                why: String::new(),
-                left: whole_tokens(account.available()),
+                reason: String::new(),
+                available: whole_tokens(account.available()),
                 allowed: 0,
-                come_back: 0,
+                retry_after: 0,
                 lent: whole_tokens(totals.lent),
                 borrowed: whole_tokens(totals.borrowed),
                 earned: whole_tokens(totals.earned),
                 spent: whole_tokens(totals.spent),
-                held_back: 0,
-                not_told: 0,
+                rejected: 0,
+                rejected_with_token: 0,
                 waiting: 0,
             }
         };
-        let mut fleet = snapshot(&self.fleet, None);
+        let mut fleet = account_snapshot(&self.fleet, None);
         let mut snapshots = Vec::with_capacity(self.shard_caps.len() + 1);
         for shard_cap in self.shard_caps.values() {
-            let (state, since, why) = shard_cap.health.state();
-            let (allowed, held_back) = (shard_cap.allowed.unwrap_or(0), shard_cap.held_back);
-            let one = ShardLook {
+            let (state, since, reason) = shard_cap.health.state();
+            let (allowed, rejected) = (shard_cap.allowed.unwrap_or(0), shard_cap.rejected);
+            let one = ShardSnapshot {
                 state,
                 since: now - since,
-                why: why.into(),
+                reason: reason.into(),
                 allowed,
-                held_back,
-                ..snapshot(&shard_cap.account, Some(shard_cap.shard))
+                rejected,
+                ..account_snapshot(&shard_cap.account, Some(shard_cap.shard))
             };
-            let (come_back, not_told, waiting) = (shard_cap.come_back, shard_cap.not_told, shard_cap.waiting);
-            let one = ShardLook { come_back, not_told, waiting, ..one };
-            if matches!(state, ShardState::Recovering) || fleet.why.is_empty() {
-                (fleet.state, fleet.since, fleet.why) = (state, one.since, one.why.clone());
+            let (retry_after, rejected_with_token, waiting) =
+                (shard_cap.retry_after, shard_cap.rejected_with_token, shard_cap.waiting);
+            let one = ShardSnapshot { retry_after, rejected_with_token, waiting, ..one };
+            if matches!(state, ShardState::Recovering) || fleet.reason.is_empty() {
+                (fleet.state, fleet.since, fleet.reason) = (state, one.since, one.reason.clone());
             }
             fleet.allowed += allowed;
-            fleet.held_back += held_back;
-            fleet.not_told += not_told;
+            fleet.rejected += rejected;
+            fleet.rejected_with_token += rejected_with_token;
             fleet.waiting += waiting;
             snapshots.push(one);
         }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -41,14 +41,14 @@
 
 pub use allowances::Allowances;
 pub use cap::{Allowance, Cap, Input, Output};
-pub use key::{key_of, key_of_host};
+pub use key::{host_request_key, request_key};
 pub use message::KIND;
 pub use options::{
     CapOptions, Durations, InjectedFault, ONE_TOKEN, OptionsError, Overrides, RECOVERING_FREE_PART,
     RESERVED_PART, TokenSource,
 };
 pub use shard::ShardState;
-pub use snapshot::{Counts, ShardLook};
+pub use snapshot::{Counts, ShardSnapshot};
 
 /// Microseconds on the caller's clock, which never goes backwards.
 pub type Micros = i64;
--- a/crates/repeats/tests/allowances.rs
+++ b/crates/repeats/tests/allowances.rs
@@ -44,7 +44,7 @@
         for output in out {
             if let Output::Allow(allowance) = output {
                 self.issued.push(allowance);
-                self.allowances.say(allowance);
+                self.allowances.set(allowance);
             }
         }
     }
@@ -53,10 +53,10 @@
     fn notify(&mut self) {
         let issued = std::mem::take(&mut self.issued);
         match self.notification {
-            Notification::AsIssued => issued.iter().for_each(|allowance| self.scheduler = allowance.further),
+            Notification::AsIssued => issued.iter().for_each(|allowance| self.scheduler = allowance.retries),
             Notification::LessSentAttempts => {
-                while let Some(allowance) = self.allowances.next_untold() {
-                    self.scheduler = allowance.further;
+                while let Some(allowance) = self.allowances.next_notification() {
+                    self.scheduler = allowance.retries;
                 }
             }
         }
@@ -69,14 +69,14 @@
         self.scheduler -= sent;
         for _ in 0..sent {
             self.allowances.spend(SHARD);
-            self.handle_input(Input::Sent { shard: SHARD, further: true });
+            self.handle_input(Input::AttemptSent { shard: SHARD, is_retry: true });
         }
         self.notify();
     }
 
     fn serve_requests(&mut self, times: u32) {
         for _ in 0..times {
-            self.handle_input(Input::Ended { shard: SHARD, served: true, refused: false });
+            self.handle_input(Input::AttemptEnded { shard: SHARD, served: true, refused: false });
         }
         self.notify();
     }
@@ -88,7 +88,7 @@
 
     /// What a gateway does before the scheduler makes a decision.
     fn refresh(&mut self) {
-        if self.cap.is_behind(self.now) {
+        if self.cap.needs_tick(self.now) {
             self.handle_input(Input::Tick);
             self.notify();
         }
@@ -106,7 +106,8 @@
 
     /// How many retries the scheduler may send beyond the tokens in the accounts.
     fn excess(&self) -> u32 {
-        let least = self.cap.look(self.now).iter().map(|look| look.left as u32).min().unwrap_or(0);
+        let least =
+            self.cap.snapshot(self.now).iter().map(|snapshot| snapshot.available as u32).min().unwrap_or(0);
         self.scheduler.saturating_sub(least)
     }
 }
