--- a/crates/dispatch/src/dispatcher/connection_wait.rs
+++ b/crates/dispatch/src/dispatcher/connection_wait.rs
@@ -12,8 +12,8 @@
     pub fn await_connection(&mut self, attempt: AttemptId) {
         if let Some(in_flight) = self.in_flight.get_mut(&attempt).filter(|a| !a.awaits_connection) {
             in_flight.awaits_connection = true;
-            let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: true });
+            let AttemptId { request, index } = attempt;
+            self.events.push_back(Event::ConnectionWait { request, attempt: index, waiting: true });
         }
     }
 
@@ -27,7 +27,7 @@
     pub fn is_still_valid(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_valid = |in_flight: &InFlight| {
             now < in_flight.due
-                && self.scheduler.attempt_is_valid(now, attempt.request, attempt.n, in_flight.node)
+                && self.scheduler.attempt_is_valid(now, attempt.request, attempt.index, in_flight.node)
         };
         self.requests.contains_key(&attempt.request) && self.in_flight.get(&attempt).is_some_and(is_valid)
     }
@@ -42,8 +42,8 @@
         }
         let in_flight = self.in_flight.get_mut(&attempt)?;
         if std::mem::take(&mut in_flight.awaits_connection) {
-            let AttemptId { request, n } = attempt;
-            self.events.push_back(Event::ConnectionWait { request, attempt: n, waiting: false });
+            let AttemptId { request, index } = attempt;
+            self.events.push_back(Event::ConnectionWait { request, attempt: index, waiting: false });
         }
         Some((in_flight.node, in_flight.due))
     }
