--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -42,7 +42,6 @@
 }
 
 /// An attempt that was sent and has not ended.
-
 struct InFlight {
     node: NodeId,
     sent_at: Micros,
@@ -161,7 +160,6 @@
 
     /// Records the end of an attempt that was taken out of `in_flight` and notifies the scheduler. Returns
     /// the payload if the request is served.
-
     fn record_end(
         &mut self,
         attempt: AttemptId,
@@ -385,7 +383,6 @@
     }
 
     /// Advances the clock, which never goes back.
-
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
