--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -28,7 +28,7 @@
         open.pieces[index].state = PieceState::Unserved;
         let Some(open) = self.open.get(&id) else { return };
         let answer = match verdict {
-            Verdict::Refused { come_back } if self.retry_is_safe(open) => Answer::Refused { come_back },
+            Verdict::Refused { retry_after } if self.retry_is_safe(open) => Answer::Refused { retry_after },
             _ => Answer::Failed,
         };
         let piece = &open.pieces[index];
@@ -75,7 +75,7 @@
             opcode: open.operation.opcode,
             class: open.class,
             refused: match answer {
-                Answer::Refused { come_back } => Some(*come_back),
+                Answer::Refused { retry_after } => Some(*retry_after),
                 _ => None,
             },
             age: self.now - open.accepted_at,
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -95,7 +95,7 @@
         self.advance(now);
         let id = operation.id;
         let Some(volume) = self.catalogue.volume(operation.nsid) else {
-            effects.push(Effect::Answer(id, Answer::Refused { come_back: 0 }));
+            effects.push(Effect::Answer(id, Answer::Refused { retry_after: 0 }));
             return;
         };
         let bytes = u64::from(operation.blocks) * u64::from(volume.block_size);
@@ -210,7 +210,7 @@
         for id in ids {
             let Some(open) = self.open.get(&id) else { continue };
             let answer = if self.retry_is_safe(open) {
-                Answer::Refused { come_back: self.catalogue.settings.max_retry_after }
+                Answer::Refused { retry_after: self.catalogue.settings.max_retry_after }
             } else {
                 Answer::Failed
             };
@@ -272,28 +272,28 @@
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
-    /// an operation with `retry` set. Without a token a part is refused with `come_back`, in microseconds, as
-    /// its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without an
-    /// allowance is unlimited.
+    /// an operation with `retry` set. Without a token a part is refused with `retry_after`, in microseconds,
+    /// as its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without
+    /// an allowance is unlimited.
     pub fn set_retry_tokens(
         &mut self,
         now: Micros,
         shard: ShardId,
-        further: u32,
-        come_back: Micros,
+        tokens: u32,
+        retry_after: Micros,
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.retry_demands.set_tokens(shard, further);
-        self.dispatcher.set_retry_tokens(self.now, shard, further, come_back);
+        self.retry_demands.set_tokens(shard, tokens);
+        self.dispatcher.set_retry_tokens(self.now, shard, tokens, retry_after);
         self.carry_out_commands(effects);
     }
 
     /// Sets how many parts may wait for a retry token of a shard that has none left. The limit is 0 until it
     /// is set.
-    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, limit: u32) {
         self.advance(now);
-        self.dispatcher.limit_token_waiters(self.now, shard, most);
+        self.dispatcher.limit_token_waiters(self.now, shard, limit);
     }
 
     /// Returns the shards whose set of parts waiting for a retry token has changed since the last call.
--- a/crates/core/src/operation.rs
+++ b/crates/core/src/operation.rs
@@ -64,7 +64,7 @@
     /// Refused: the operation never ran, or running it again is harmless.
     Refused {
         /// Delay after which the client should retry, in microseconds; 0 if there is no advice.
-        come_back: Micros,
+        retry_after: Micros,
     },
     /// Failed: the operation may or may not have taken effect.
     Failed,
--- a/crates/core/tests/retry_tokens.rs
+++ b/crates/core/tests/retry_tokens.rs
@@ -58,7 +58,7 @@
 fn without_tokens_retries_are_refused_and_first_attempts_are_sent() {
     let mut core = core();
     core.set_retry_tokens(0, ShardId(0), 0, ADVICE, &mut Vec::new());
-    let refused = Some(Answer::Refused { come_back: ADVICE });
+    let refused = Some(Answer::Refused { retry_after: ADVICE });
     assert_eq!(submit(&mut core, read(1, 0, true)), (Vec::new(), refused.clone()));
     assert_eq!(shards_and_retries(&submit(&mut core, read(2, 8, true)).0), [(ShardId(1), true)]);
     let (sends, answer) = submit(&mut core, read(3, 0, false));
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -17,7 +17,7 @@
     /// Refused: the request never ran, or running it again is harmless.
     Refused {
         /// Delay after which the client should retry, in microseconds; 0 if there is no advice.
-        come_back: Micros,
+        retry_after: Micros,
     },
     /// Failed: the request may or may not have taken effect.
     Failed,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -302,7 +302,7 @@
         match action {
             Action::Send { request, node, patience } => self.send(request, node, patience),
             Action::Refuse { request, come_back } => {
-                self.finish(request, Verdict::Refused { come_back });
+                self.finish(request, Verdict::Refused { retry_after: come_back });
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
             Action::Cancel { request, attempt } => {
--- a/crates/dispatch/src/dispatcher/retry_tokens.rs
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -8,18 +8,18 @@
 
 impl<P> Dispatcher<P> {
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does the first attempt of a
-    /// request that is marked as a client's retry. Without a token a request is refused with `come_back`, in
-    /// microseconds, as its advice.
-    pub fn set_retry_tokens(&mut self, now: Micros, shard: ShardId, further: u32, come_back: Micros) {
+    /// request that is marked as a client's retry. Without a token a request is refused with `retry_after`,
+    /// in microseconds, as its advice.
+    pub fn set_retry_tokens(&mut self, now: Micros, shard: ShardId, tokens: u32, retry_after: Micros) {
         self.advance(now);
-        self.events.push_back(Event::Allowance { shard, further, come_back });
+        self.events.push_back(Event::Allowance { shard, further: tokens, come_back: retry_after });
     }
 
     /// Sets how many requests may wait for a retry token of a shard that has none left. The limit is 0 until
     /// it is set.
-    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, most: u32) {
+    pub fn limit_token_waiters(&mut self, now: Micros, shard: ShardId, limit: u32) {
         self.advance(now);
-        self.events.push_back(Event::AwaitLimit { shard, most });
+        self.events.push_back(Event::AwaitLimit { shard, most: limit });
     }
 
     /// Returns the shards whose set of requests waiting for a retry token has changed since the last call.
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -117,7 +117,7 @@
     let retries = sent_attempts(&drain_commands(&mut dispatcher));
     assert_eq!(retries.len(), 1);
     dispatcher.attempt_ended(3000, retries[0], Outcome::Error, None);
-    let refused = Command::EndUnserved(attempts[0].request, 42, Verdict::Refused { come_back: 300_000 });
+    let refused = Command::EndUnserved(attempts[0].request, 42, Verdict::Refused { retry_after: 300_000 });
     assert!(drain_commands(&mut dispatcher).contains(&refused));
 }
 
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -21,12 +21,12 @@
 pub fn completion_of(answer: Answer, delays: &[u16; 3]) -> Completion {
     match answer {
         Answer::Served(data) => Completion { status: Status::SUCCESS, dw0: 0, dw1: 0, data },
-        Answer::Refused { come_back } => {
-            let status = match retry_delay_index(come_back, delays) {
+        Answer::Refused { retry_after } => {
+            let status = match retry_delay_index(retry_after, delays) {
                 0 => Status::passing(StatusCode::CommandInterrupted),
                 n => Status::after(StatusCode::CommandInterrupted, n),
             };
-            let ms = u32::try_from((come_back.max(0) + 999) / 1000).unwrap_or(u32::MAX);
+            let ms = u32::try_from((retry_after.max(0) + 999) / 1000).unwrap_or(u32::MAX);
             Completion { status, dw0: ms, dw1: 0, data: Bytes::new() }
         }
         Answer::Failed => Completion::of(Status::permanent(StatusCode::InternalError)),
@@ -51,7 +51,7 @@
     fn a_failure_must_not_be_retried_and_a_refusal_carries_its_delay() {
         let failed = completion_of(Answer::Failed, &[1, 5, 20]);
         assert_eq!(failed.status, Status::permanent(StatusCode::InternalError));
-        let refused = completion_of(Answer::Refused { come_back: 250_400 }, &[1, 5, 20]);
+        let refused = completion_of(Answer::Refused { retry_after: 250_400 }, &[1, 5, 20]);
         assert_eq!((refused.status, refused.dw0), (Status::after(StatusCode::CommandInterrupted, 2), 251));
     }
 }
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -19,8 +19,8 @@
     }
 
     /// Refuses a command with the advice to retry after this time.
-    fn refuse(&mut self, id: ConnectionId, cid: u16, come_back: Micros) {
-        let refusal = completion_of(Answer::Refused { come_back }, &self.options.target.retry_delays);
+    fn refuse(&mut self, id: ConnectionId, cid: u16, retry_after: Micros) {
+        let refusal = completion_of(Answer::Refused { retry_after }, &self.options.target.retry_delays);
         self.answer(id, cid, refusal);
     }
 
@@ -28,13 +28,13 @@
         if !self.clients.contains_key(&id) {
             return;
         }
-        if let Some(come_back) = self
+        if let Some(retry_after) = self
             .recovery
             .as_mut()
             .and_then(|r| r.retry_delay_if_closed(now, &self.options.catalogue, &command))
         {
             // Recovery has not opened this place yet, so the command is not accepted.
-            return self.refuse(id, command.cid, come_back);
+            return self.refuse(id, command.cid, retry_after);
         }
         let bytes = self.command_bytes(&command);
         let exceeded = self.front_end.client_limits().acquire(id, bytes).err();
@@ -51,8 +51,8 @@
             if exceeded.is_none() {
                 self.front_end.client_limits().release(id, bytes);
             }
-            let come_back = self.options.catalogue.settings.max_retry_after;
-            return self.refuse(id, command.cid, come_back);
+            let retry_after = self.options.catalogue.settings.max_retry_after;
+            return self.refuse(id, command.cid, retry_after);
         }
         self.next_operation_id += 1;
         let operation_id = OperationId(self.next_operation_id);
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -153,9 +153,9 @@
             Verdict::Failed => (502, Bytes::from_static(b"failed\n")),
         };
         match verdict {
-            Verdict::Refused { come_back } if come_back > 0 => {
-                let retry_after = format!("{}.{:06}", come_back / 1_000_000, come_back % 1_000_000);
-                self.send_final_response(now, pending, status, &[("Retry-After", &retry_after)], body);
+            Verdict::Refused { retry_after } if retry_after > 0 => {
+                let seconds = format!("{}.{:06}", retry_after / 1_000_000, retry_after % 1_000_000);
+                self.send_final_response(now, pending, status, &[("Retry-After", &seconds)], body);
             }
             _ => self.send_final_response(now, pending, status, &[], body),
         }
