--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -108,7 +108,7 @@
         self.next_request += 1;
         request.id = id;
         self.requests
-            .insert(id, OpenRequest { payload, deadline: self.now + request.patience, attempts_sent: 0 });
+            .insert(id, OpenRequest { payload, deadline: self.now + request.timeout, attempts_sent: 0 });
         self.counts.accepted += 1;
         self.events.push_back(Event::Request(request));
         id
@@ -210,13 +210,13 @@
                 started: entry.started,
             });
         }
-        self.events.push_back(Event::Nodes { whole, remembered, entries });
+        self.events.push_back(Event::Nodes { complete: whole, from_cache: remembered, entries });
     }
 
     /// Notifies the scheduler that fetching the node list failed.
     pub fn node_list_failed(&mut self, now: Micros) {
         self.advance(now);
-        self.events.push_back(Event::NodesFailed);
+        self.events.push_back(Event::NodeListFailed);
     }
 
     /// Returns the number of a node. An unknown name is assigned the next number.
@@ -300,8 +300,8 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::Send { request, node, patience } => self.send(request, node, patience),
-            Action::Refuse { request, come_back } => {
+            Action::Send { request, node, timeout: patience } => self.send(request, node, patience),
+            Action::Refuse { request, retry_after: come_back } => {
                 self.finish(request, Verdict::Refused { retry_after: come_back });
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
@@ -396,7 +396,7 @@
         outcome,
         settled,
         latency,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -122,8 +122,8 @@
             started: None,
         };
         coupled.module_input(Event::Nodes {
-            whole: true,
-            remembered: false,
+            complete: true,
+            from_cache: false,
             entries: (0..3).map(entry).collect(),
         });
         coupled.cap_input(Input::Tick);
@@ -168,12 +168,12 @@
         let Some(allowance) = self.allowances.next_notification() else { return false };
         let most = self.cap.wait_limit(allowance.shard);
         if self.limits.insert(allowance.shard, most) != Some(most) {
-            self.module_input(Event::AwaitLimit { shard: ShardId(allowance.shard), most });
+            self.module_input(Event::TokenWaitLimit { shard: ShardId(allowance.shard), max_waiting: most });
         }
         self.left = allowance.retries;
         let (shard, further, come_back) =
             (ShardId(allowance.shard), allowance.retries, allowance.retry_after);
-        self.module_input(Event::Allowance { shard, further, come_back });
+        self.module_input(Event::RetryAllowance { shard, tokens: further, retry_after: come_back });
         true
     }
 
@@ -192,7 +192,7 @@
                     self.answers.insert((self.now + 1_000, request, node));
                 }
             }
-            Action::Refuse { request, come_back } => {
+            Action::Refuse { request, retry_after: come_back } => {
                 self.wanted += u32::from(request.0 < FIRST_NON_RETRY && self.left == 0);
                 self.requests.get_mut(&request.0).unwrap().refused = Some((self.now, come_back));
             }
@@ -212,8 +212,8 @@
             shard: Some(ShardId(SHARD)),
             units: 1.0,
             hosts: 1,
-            patience: 2 * SECOND,
-            retry,
+            timeout: 2 * SECOND,
+            is_retry: retry,
             client: Some(ClientId(id)),
         }));
         self.run_actions();
@@ -241,8 +241,8 @@
                     outcome: Outcome::Served,
                     settled: true,
                     latency: 1_000,
-                    metered: None,
-                    elsewhere: 0.0,
+                    metered_use: None,
+                    units_elsewhere: 0.0,
                 }));
             } else {
                 self.cap_input(Input::Tick);
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -104,9 +104,9 @@
         self.open_request_ids.insert(admitted.id.clone());
         let mut request_for_decisions = admitted.request.clone();
         if let Some(shutdown) = self.shutdown_deadline() {
-            request_for_decisions.patience = request_for_decisions.patience.min(shutdown - now).max(0);
+            request_for_decisions.timeout = request_for_decisions.timeout.min(shutdown - now).max(0);
         }
-        let deadline = now + request_for_decisions.patience;
+        let deadline = now + request_for_decisions.timeout;
         let request = self.dispatcher.submit(
             now,
             request_for_decisions,
@@ -200,7 +200,7 @@
     }
 
     /// Handles a client connection that ended: its open request is withdrawn.
-    pub(super) fn client_ended(&mut self, now: Micros, id: u64, end: End) {
+    pub(super) fn client_ended(&mut self, now: Micros, id: u64, end: ConnectionEnd) {
         let Some(client) = self.clients.remove(&id) else { return };
         self.client_timers.remove(&client, id);
         if let Some((request, _)) = client.open_request {
