--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -142,7 +142,7 @@
 
     /// Splits an operation into its parts, each with its request.
     fn split(&self, volume: &Volume, operation: &Operation, class: usize) -> Vec<(Part, Request)> {
-        let patience = self.catalogue.rules[class].timeout;
+        let timeout = self.catalogue.rules[class].timeout;
         volume
             .parts(operation.slba, operation.blocks)
             .into_iter()
@@ -156,7 +156,7 @@
                     shard: Some(part.shard),
                     units: self.catalogue.units(u64::from(part.blocks) * u64::from(volume.block_size)),
                     hosts: volume.hosts,
-                    timeout: patience,
+                    timeout,
                     is_retry: operation.retry,
                     client: operation.client,
                 };
@@ -250,17 +250,17 @@
         self.carry_out_commands(effects);
     }
 
-    /// Applies the node list: the whole list, or only the entries that changed.
+    /// Applies the node list: the complete list, or only the entries that changed.
     pub fn update_nodes(
         &mut self,
         now: Micros,
-        whole: bool,
-        remembered: bool,
+        complete: bool,
+        from_cache: bool,
         listed: &[ListedNode],
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
-        self.dispatcher.update_nodes(self.now, whole, remembered, listed);
+        self.dispatcher.update_nodes(self.now, complete, from_cache, listed);
         self.carry_out_commands(effects);
     }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -189,11 +189,11 @@
         open.map(|open| open.payload)
     }
 
-    /// Applies the node list: the whole list, or only the entries that changed.
-    pub fn update_nodes(&mut self, now: Micros, whole: bool, remembered: bool, listed: &[ListedNode]) {
+    /// Applies the node list: the complete list, or only the entries that changed.
+    pub fn update_nodes(&mut self, now: Micros, complete: bool, from_cache: bool, listed: &[ListedNode]) {
         self.advance(now);
         let mut entries = Vec::with_capacity(listed.len());
-        if whole {
+        if complete {
             self.nodes.values_mut().for_each(|view| view.state = NodeState::Gone);
         }
         for entry in listed {
@@ -210,7 +210,7 @@
                 started: entry.started,
             });
         }
-        self.events.push_back(Event::Nodes { complete: whole, from_cache: remembered, entries });
+        self.events.push_back(Event::Nodes { complete, from_cache, entries });
     }
 
     /// Notifies the scheduler that fetching the node list failed.
@@ -300,9 +300,9 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::Send { request, node, timeout: patience } => self.send(request, node, patience),
-            Action::Refuse { request, retry_after: come_back } => {
-                self.finish(request, Verdict::Refused { retry_after: come_back });
+            Action::Send { request, node, timeout } => self.send(request, node, timeout),
+            Action::Refuse { request, retry_after } => {
+                self.finish(request, Verdict::Refused { retry_after });
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
             Action::Cancel { request, attempt } => {
@@ -323,7 +323,7 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, node: NodeId, patience: Micros) {
+    fn send(&mut self, request: RequestId, node: NodeId, timeout: Micros) {
         let Some(open) = self.requests.get_mut(&request) else {
             // The request was withdrawn in the meantime and the attempt is not sent. The scheduler must be
             // notified, or it would count the attempt as in flight forever.
@@ -338,7 +338,7 @@
         open.attempts_sent += 1;
         self.counts.sent += 1;
         self.counts.retries += u64::from(attempt.index > 0);
-        let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
+        let due = if timeout > 0 { open.deadline.min(self.now + timeout) } else { open.deadline };
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
         if let Some(view) = self.nodes.get_mut(&node) {
