--- a/crates/platform/src/acceptor.rs
+++ b/crates/platform/src/acceptor.rs
@@ -78,7 +78,7 @@
         task::spawn("door", move || {
             acceptor.accept(&listener, &inbox);
             drop(listener);
-            let _ = inbox.send(Message::Shut); // The engine ends last.
+            let _ = inbox.send(Message::ListenerClosed); // The engine ends last.
         })
     }
 
@@ -104,7 +104,7 @@
                     // issues another permit later; the next client waits for that.
                     Err(error) => {
                         tracing::warn!(%error, "a connection could not be accepted");
-                        let _ = inbox.send(Message::NotAccepted);
+                        let _ = inbox.send(Message::AcceptFailed);
                         continue 'next;
                     }
                 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -17,7 +17,7 @@
 }
 
 /// A client's connection.
-pub(crate) struct Client {
+pub(crate) struct ClientConnection {
     pub(crate) decoder: RequestDecoder,
     pub(crate) arrivals: Arrivals,
     /// Start of the current wait: when the connection was accepted, its last response was written, or a
@@ -40,9 +40,9 @@
     pub(crate) lingering: Option<Lingering>,
 }
 
-impl Client {
+impl ClientConnection {
     pub(crate) fn new(now: Micros, limits: Limits, request_timeout: Micros) -> Self {
-        Client {
+        ClientConnection {
             decoder: RequestDecoder::new(limits),
             arrivals: Arrivals::default(),
             waiting_since: now,
@@ -67,13 +67,13 @@
 pub(crate) struct ClientTimers(BTreeSet<(Micros, u64)>);
 
 impl ClientTimers {
-    pub(crate) fn set(&mut self, client: &mut Client, id: u64, at: Micros) {
+    pub(crate) fn set(&mut self, client: &mut ClientConnection, id: u64, at: Micros) {
         self.0.remove(&(client.timer_at, id));
         client.timer_at = at;
         self.0.insert((at, id));
     }
 
-    pub(crate) fn remove(&mut self, client: &Client, id: u64) {
+    pub(crate) fn remove(&mut self, client: &ClientConnection, id: u64) {
         self.0.remove(&(client.timer_at, id));
     }
 
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -151,7 +151,7 @@
                     Ok(Some(_)) | Err(_) => return ConnectionEnd::Broken,
                 };
             }
-            let _ = inbox.send(Message::Up { socket, serial });
+            let _ = inbox.send(Message::Established { socket, serial });
         }
         // The system keeps data that arrived before the connection was closed, so there may still be
         // something to read. A reader that delivered it would wait for a permit that never comes and hold its
@@ -170,7 +170,7 @@
                     self.unhandled_input.store(true, Ordering::SeqCst);
                     let bytes = Bytes::copy_from_slice(&buffer[..n]);
                     drop(buffer);
-                    let _ = inbox.send(Message::Bytes { socket, serial, at: clock.now(), bytes });
+                    let _ = inbox.send(Message::Received { socket, serial, at: clock.now(), bytes });
                     self.read_permit.wait();
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -53,14 +53,14 @@
 pub(crate) enum Message {
     Accepted(TcpStream),
     /// Accepting failed for lack of a descriptor.
-    NotAccepted,
+    AcceptFailed,
     /// The listener is closed.
-    Shut,
-    Up {
+    ListenerClosed,
+    Established {
         socket: SocketId,
         serial: u64,
     },
-    Bytes {
+    Received {
         socket: SocketId,
         serial: u64,
         at: Micros,
@@ -231,12 +231,12 @@
         match message {
             Message::Tick => return,
             Message::Accepted(stream) => self.accepted(now, stream),
-            Message::NotAccepted => self.machine.accept_failed(),
-            Message::Shut => self.machine.listener_closed(),
-            Message::Up { socket, serial } if self.is_current(socket, serial) => {
+            Message::AcceptFailed => self.machine.accept_failed(),
+            Message::ListenerClosed => self.machine.listener_closed(),
+            Message::Established { socket, serial } if self.is_current(socket, serial) => {
                 self.machine.connection_established(now, socket)
             }
-            Message::Bytes { socket, serial, at, bytes } if self.is_current(socket, serial) => {
+            Message::Received { socket, serial, at, bytes } if self.is_current(socket, serial) => {
                 self.machine.received(now, socket, at, &bytes);
             }
             Message::Ended { socket, serial, end } if self.is_current(socket, serial) => {
@@ -244,7 +244,7 @@
                 self.machine.connection_ended(now, socket, end);
             }
             Message::Ended { socket, .. } => return self.descriptor_released(socket),
-            Message::Up { .. } | Message::Bytes { .. } => return,
+            Message::Established { .. } | Message::Received { .. } => return,
             Message::Command(Command::SetDiscovery(address)) => {
                 self.machine.set_discovery_address(now, address)
             }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -17,7 +17,7 @@
 use profile::Service;
 
 use crate::admission::{AdmittedRequest, Rejection, admit};
-use crate::client::{Client, ClientTimers, Lingering};
+use crate::client::{ClientConnection, ClientTimers, Lingering};
 use crate::config::Config;
 use crate::discovery::{self, Discovery};
 use crate::endpoint::{EndpointList, Zones};
@@ -93,7 +93,7 @@
     settings: decisions::Settings,
     limits: ResourceLimits,
     dispatcher: Dispatcher<Pending>,
-    clients: HashMap<u64, Client>,
+    clients: HashMap<u64, ClientConnection>,
     client_timers: ClientTimers,
     /// The connection accepted last. It isn't closed to make room before another one has been accepted.
     newest_client: u64,
@@ -237,7 +237,7 @@
         }
         let waited = self.queue_blocked_since.map_or(0, |since| now - since);
         let request_timeout = (REQUEST_TIMEOUT - waited).max(MIN_REQUEST_TIMEOUT);
-        let mut client = Client::new(now, MESSAGE_LIMITS, request_timeout);
+        let mut client = ClientConnection::new(now, MESSAGE_LIMITS, request_timeout);
         self.client_timers.set(&mut client, id, now + request_timeout / 2);
         self.clients.insert(id, client);
         self.accept_wanted = true;
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -117,7 +117,7 @@
         self.run_dispatcher_commands(now);
     }
 
-    /// Handles a client connection's timer: no whole request came in time, it was idle for too long, or
+    /// Handles a client connection's timer: no complete request arrived in time, it was idle for too long, or
     /// its lingering close is due.
     pub(super) fn client_timer_due(&mut self, now: Micros, id: u64) {
         let slots_short = self.accept_wanted && self.clients.len() >= self.limits.client_connections;
@@ -166,7 +166,7 @@
         }
     }
 
-    fn start_lingering(now: Micros, client: &mut Client) {
+    fn start_lingering(now: Micros, client: &mut ClientConnection) {
         client.lingering = Some(Lingering { bytes_left: LINGER_BYTES, close_at: now + KEEP_ALIVE });
     }
 
@@ -228,13 +228,13 @@
             return;
         }
         if self.clients.len() >= self.limits.client_connections {
-            let may_close = |c: &Client| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
-            let can_close = |c: &Client| {
+            let may_close = |c: &ClientConnection| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
+            let can_close = |c: &ClientConnection| {
                 !c.close_declined && (c.lingering.is_some() || c.is_idle() && (!c.served || may_close(c)))
             };
             let candidates = self.clients.iter().filter(|(id, c)| **id != self.newest_client && can_close(c));
             // Connections that have their last response come first.
-            let rank = |c: &Client| (c.lingering.is_none(), !may_close(c), c.waiting_since);
+            let rank = |c: &ClientConnection| (c.lingering.is_none(), !may_close(c), c.waiting_since);
             let Some(id) = candidates.min_by_key(|(id, c)| (rank(c), **id)).map(|(id, _)| *id) else {
                 self.queue_blocked_since.get_or_insert(now);
                 return;
@@ -285,7 +285,7 @@
     ) {
         let may_end = self.closing_connections || self.is_crowded();
         let Some(client) = self.clients.get_mut(&id) else { return };
-        // Requests already received behind this one would be lost if the connection closed now, so it is keep_for
+        // Requests already received behind this one would be lost if the connection closed now, so it is kept
         // until they are answered.
         let keep = keep && !(may_end && client.decoder.is_between());
         let socket = SocketId::Client(id);
