--- a/crates/capacity/src/parts/caps.rs
+++ b/crates/capacity/src/parts/caps.rs
@@ -1,7 +1,7 @@
 //! What the cap on repeats costs each gateway, by members and by shards.
 
 use peer::PeerName;
-use repeats::message::{Fact, Want, Word};
+use repeats::message::{CapMessage, LeaseRequest, ShardObservation};
 use repeats::{Cap, CapOptions, Input, ONE_TOKEN};
 
 use crate::coming::{CONTROL_BYTES, GATEWAYS, NODES, REQUESTS, SHARD_NODES};
@@ -51,7 +51,7 @@
         now += durations.step;
         cap.handle(now, Input::Tick, &mut out);
     }
-    let left = cap.look(now).first().map_or(0.0, |look| look.left);
+    let left = cap.snapshot(now).first().map_or(0.0, |look| look.available);
     1.0 / left
 }
 
@@ -84,7 +84,7 @@
     );
     let even = format!(
         "A cap with `free` {}: what one shard bears beside its load (docs/fleet/cap.md: free / W + share x load < capacity - load), calculated \
-         for {} requests a second at a shard of {SHARD_NODES} nodes that are loaded to {LOAD}, an assumption. What `Cap::look` tells as left of a rested cap, and its \
+         for {} requests a second at a shard of {SHARD_NODES} nodes that are loaded to {LOAD}, an assumption. What `Cap::snapshot` tells as left of a rested cap, and its \
          inverse. Beyond 1 no gateway has a whole right by its even part; rights are kept in {} parts, whole ones are allowed.",
         free(),
         (f64::from(REQUESTS) * (GATEWAYS * SHARD_NODES) as f64 / NODES as f64).round(),
@@ -192,12 +192,13 @@
     let mut cap = Cap::new(options, LIFE, 0, seed);
     let peers: Vec<PeerName> = (0..members).map(name).collect();
     let mut out = Vec::new();
-    cap.handle(now, Input::Peers(peers.clone()), &mut out);
-    let want = Want { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
-    let fact = Fact { shard: 0, seen: true, served: 0, bad: 8 };
-    let body = peer::wire::encode(&Word { wants: vec![want], facts: vec![fact], ..Word::default() });
+    cap.handle(now, Input::PeersChanged(peers.clone()), &mut out);
+    let want = LeaseRequest { number: 1, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life: LIFE };
+    let fact = ShardObservation { shard: 0, seen: true, served: 0, bad: 8 };
+    let body =
+        peer::wire::encode(&CapMessage { wants: vec![want], facts: vec![fact], ..CapMessage::default() });
     for from in peers.into_iter().skip(1) {
-        cap.handle(now, Input::Heard { from, life: LIFE, body: body.clone() }, &mut out);
+        cap.handle(now, Input::MessageReceived { from, life: LIFE, body: body.clone() }, &mut out);
         out.clear();
     }
     cap
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use bytes::Bytes;
-use decisions::{Micros, NodeId, Outcome, Repeats, Request, RequestId, ShardId, Shortage, VolumeId};
+use decisions::{Idempotency, Micros, NodeId, Outcome, Request, RequestId, ShardId, Shortage, VolumeId};
 use dispatch::{AttemptId, Command, Dispatcher, ListedNode};
 
 use crate::catalogue::{Catalogue, Part, Volume};
@@ -156,8 +156,8 @@
                     shard: Some(part.shard),
                     units: self.catalogue.units(u64::from(part.blocks) * u64::from(volume.block_size)),
                     hosts: volume.hosts,
-                    patience,
-                    retry: operation.retry,
+                    timeout: patience,
+                    is_retry: operation.retry,
                     client: operation.client,
                 };
                 (part, request)
@@ -210,7 +210,7 @@
         for id in ids {
             let Some(open) = self.open.get(&id) else { continue };
             let answer = if self.retry_is_safe(open) {
-                Answer::Refused { come_back: self.catalogue.settings.most_advice }
+                Answer::Refused { come_back: self.catalogue.settings.max_retry_after }
             } else {
                 Answer::Failed
             };
@@ -371,7 +371,7 @@
             let start = (part.slba - operation.slba) as usize * open.block_size as usize;
             operation.data.slice(start..start + bytes as usize)
         };
-        let is_retry = attempt.n > 0 || operation.retry;
+        let is_retry = attempt.index > 0 || operation.retry;
         if is_retry {
             self.retry_demands.use_token(part.shard);
         }
@@ -387,7 +387,10 @@
             shard: part.shard,
             is_retry,
             token: operation.token,
-            keyed: matches!(self.catalogue.settings.classes[open.class].repeats, Repeats::Keyed { .. }),
+            keyed: matches!(
+                self.catalogue.settings.classes[open.class].idempotency,
+                Idempotency::Keyed { .. }
+            ),
         }));
     }
 }
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -309,7 +309,7 @@
         {
             limit.add(now, -open.request.units);
         }
-        if self.settings.budget.is_some() && open.tries() > 0 {
+        if self.settings.retry_budget.is_some() && open.tries() > 0 {
             self.state.retry_times.push_back(now);
         }
         if let (true, Some(tokens)) = (open.needs_retry_token(), self.state.retry_tokens.get_mut(&node.shard))
@@ -325,7 +325,7 @@
         if let Some(shard) = self.state.shards.get_mut(&node.shard) {
             shard.last_key = open.request.key;
         }
-        self.state.actions.push(Action::Send { request: id, node: node_id, patience: 0 });
+        self.state.actions.push(Action::Send { request: id, node: node_id, timeout: 0 });
     }
 }
 
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -1,4 +1,4 @@
-//! `Event::AwaitLimit`: requests that wait for a retry token while their shard has none left.
+//! `Event::TokenWaitLimit`: requests that wait for a retry token while their shard has none left.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 /// A host without tokens at shard 0, where `limit` requests may wait for one.
 fn host_with_limit(limit: u32) -> Host {
-    host_of(class(Repeats::Safe), limit)
+    host_of(class(Idempotency::Safe), limit)
 }
 
 fn host_of(class: Class, limit: u32) -> Host {
@@ -23,11 +23,11 @@
 }
 
 fn set_limit(host: &mut Host, limit: u32) {
-    host.handle(Event::AwaitLimit { shard: ShardId(0), most: limit });
+    host.handle(Event::TokenWaitLimit { shard: ShardId(0), max_waiting: limit });
 }
 
 fn retry(id: u64) -> Request {
-    Request { retry: true, ..request(id) }
+    Request { is_retry: true, ..request(id) }
 }
 
 fn waiting(host: &mut Host) -> Vec<(ShardId, u32)> {
@@ -79,7 +79,7 @@
     let mut host = host_with_limit(4);
     (1..=4).for_each(|id| _ = host.submit(retry(id)));
     set_limit(&mut host, 1);
-    let refuse = |id| Action::Refuse { request: RequestId(id), come_back: LATER_ADVICE };
+    let refuse = |id| Action::Refuse { request: RequestId(id), retry_after: LATER_ADVICE };
     assert_eq!(host.set_retry_tokens(0, 0, LATER_ADVICE), [refuse(4), refuse(3), refuse(2)]);
     assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
 }
@@ -112,7 +112,7 @@
     host.advance(2000);
     assert_eq!(host.refused(1), Some(ADVICE), "its latency target is over");
     assert_eq!(waiting(&mut host), [(ShardId(0), 0)]);
-    host.submit(Request { patience: 80_000, ..retry(2) });
+    host.submit(Request { timeout: 80_000, ..retry(2) });
     host.advance(36_000);
     assert_eq!(host.refused(2), Some(ADVICE), "nearly half of its client's time is over");
     host.checker.assert_clean();
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_request_in_order_does_not_wait_as_its_key_would_wait_too() {
-    let mut host = host_of(Class { in_order: true, ..class(Repeats::Safe) }, 4);
+    let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) }, 4);
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.submit(same_key(retry(1)));
     assert_eq!(host.refused(1), Some(ADVICE));
@@ -143,7 +143,7 @@
 #[test]
 fn the_request_of_most_worth_gets_the_first_token() {
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Safe), Class { worth: 8.0, ..class(Repeats::Safe) }];
+    host_settings.classes = vec![class(Idempotency::Safe), Class { worth: 8.0, ..class(Idempotency::Safe) }];
     let mut host = Host::with_nodes(host_settings, &[entry(0, 0)]);
     set_limit(&mut host, 3);
     host.set_retry_tokens(0, 0, ADVICE);
--- a/crates/decisions/tests/cold_fleet/mod.rs
+++ b/crates/decisions/tests/cold_fleet/mod.rs
@@ -45,7 +45,7 @@
     /// All requests are of mean work, so that slow-start slots can be used fully.
     pub mean_work: bool,
     /// The fraction of its capacity that a node starts with.
-    pub cold_from: f64,
+    pub cold_start_fraction: f64,
     /// Longest delay of a node list change.
     pub list_delay: Micros,
     /// Injected fault: the hosts' setting of a cold node's capacity is this multiple of the true one.
@@ -65,7 +65,7 @@
             starts: (10, 20),
             killed_together: false,
             mean_work: false,
-            cold_from: 0.25,
+            cold_start_fraction: 0.25,
             list_delay: 2 * SECOND,
             cold_units_factor: 1.0,
         }
@@ -78,7 +78,7 @@
             latency_target_stretch: 0.0,
             worth: 1.0,
             late_worth: 0.1,
-            repeats: Repeats::Safe,
+            idempotency: Idempotency::Safe,
             in_order: false,
             stream: false,
         };
@@ -96,25 +96,25 @@
             plans: vec![plan],
             hosts: self.hosts,
             index,
-            must_ask: false,
-            most_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            advice: true,
-            most_advice: SECOND,
+            needs_subscription: false,
+            max_attempts: 4,
+            hedging: false,
+            cancellation: true,
+            probing: false,
+            retry_advice: true,
+            max_retry_after: SECOND,
             cold_units: self.requests_per_window * 2.0 * self.cold_units_factor,
             cold_window: 2 * SECOND,
-            cold_from: self.cold_from,
+            cold_start_fraction: self.cold_start_fraction,
             warm_after: 12 * SECOND,
             drain_grace: SECOND,
-            order_rest: 0,
-            budget: None,
-            most_units: 8.0,
-            mean_units: 2.0,
+            key_pause: 0,
+            retry_budget: None,
+            max_request_units: 8.0,
+            mean_request_units: 2.0,
             share_worth: 0.35,
             spare_worth: 0.08,
-            waste_price: 0.03,
+            waste_cost: 0.03,
         }
     }
 
@@ -287,9 +287,17 @@
                 if self.hosts[h].1 == process {
                     let (request, latency) = (RequestId(id), self.now - sent);
                     let settled = outcome == Outcome::Served;
-                    let (metered, elsewhere) = (None, 0.0);
-                    let answer =
-                        Answer { request, attempt, node, outcome, settled, latency, metered, elsewhere };
+                    let (metered_use, units_elsewhere) = (None, 0.0);
+                    let answer = Answer {
+                        request,
+                        attempt,
+                        node,
+                        outcome,
+                        settled,
+                        latency,
+                        metered_use,
+                        units_elsewhere,
+                    };
                     self.handle(h, Event::Answer(answer));
                 }
             }
@@ -298,7 +306,7 @@
                 self.received[h] = before.max(count);
                 let entries = self.entries(before, self.received[h]);
                 if self.hosts[h].0.is_some() && !entries.is_empty() {
-                    self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
+                    self.handle(h, Event::Nodes { complete: false, from_cache: false, entries });
                 }
             }
             SimEvent::Start(h) => {
@@ -307,7 +315,7 @@
                 self.hosts[h] = (Some(Scheduler::new(settings, u64::from(process))), process);
                 let old = (0..self.fleet.nodes).map(|n| entry(n, n, NodeState::On, None));
                 let entries: Vec<_> = old.chain(self.entries(0, self.received[h])).collect();
-                self.handle(h, Event::Nodes { whole: false, remembered: false, entries });
+                self.handle(h, Event::Nodes { complete: false, from_cache: false, entries });
             }
             SimEvent::Timer(..) => {}
         }
@@ -338,8 +346,8 @@
             shard: Some(ShardId(client_request.shard)),
             units: client_request.units,
             hosts: self.volumes.hosts_of(client_request.volume),
-            patience: SECOND,
-            retry: client_request.is_retry,
+            timeout: SECOND,
+            is_retry: client_request.is_retry,
             client: None,
         };
         self.handle(h, Event::Request(request));
@@ -356,8 +364,8 @@
                     self.schedule(self.now + after, SimEvent::Timer(h, process, token));
                 }
                 Action::Send { request, node, .. } => self.send(h, process, request.0, node),
-                Action::Refuse { request, come_back } if !self.requests[&request.0].is_retry => {
-                    self.schedule(self.now + come_back.max(1000), SimEvent::Retry(h, request.0));
+                Action::Refuse { request, retry_after } if !self.requests[&request.0].is_retry => {
+                    self.schedule(self.now + retry_after.max(1000), SimEvent::Retry(h, request.0));
                 }
                 _ => {}
             }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -9,13 +9,13 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeats: Repeats) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_target: 200_000,
         latency_target_stretch: 0.0,
         worth: 1.0,
         late_worth: 0.1,
-        repeats,
+        idempotency,
         in_order: false,
         stream: false,
     }
@@ -36,29 +36,29 @@
 /// One idempotent class, one plan without limit, no retry budget.
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Repeats::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         plans: vec![plan()],
         hosts: 3,
         index: 0,
-        must_ask: false,
-        most_attempts: 4,
-        second_copies: false,
-        cancel: true,
-        probes: false,
-        advice: true,
-        most_advice: SECOND,
+        needs_subscription: false,
+        max_attempts: 4,
+        hedging: false,
+        cancellation: true,
+        probing: false,
+        retry_advice: true,
+        max_retry_after: SECOND,
         cold_units: 30.0,
         cold_window: 2 * SECOND,
-        cold_from: 0.2,
+        cold_start_fraction: 0.2,
         warm_after: 10 * SECOND,
         drain_grace: SECOND,
-        order_rest: 200_000,
-        budget: None,
-        most_units: 8.0,
-        mean_units: 2.0,
+        key_pause: 200_000,
+        retry_budget: None,
+        max_request_units: 8.0,
+        mean_request_units: 2.0,
         share_worth: 0.4,
         spare_worth: 0.1,
-        waste_price: 0.03,
+        waste_cost: 0.03,
     }
 }
 
@@ -82,8 +82,8 @@
         shard: Some(ShardId(0)),
         units: 1.0,
         hosts: 1,
-        patience: SECOND,
-        retry: false,
+        timeout: SECOND,
+        is_retry: false,
         client: None,
     }
 }
@@ -157,12 +157,12 @@
         self.timers.len()
     }
 
-    pub fn update_nodes(&mut self, whole: bool, nodes: &[NodeEntry]) -> Vec<Action> {
-        self.handle(Event::Nodes { whole, remembered: false, entries: nodes.to_vec() })
+    pub fn update_nodes(&mut self, complete: bool, nodes: &[NodeEntry]) -> Vec<Action> {
+        self.handle(Event::Nodes { complete, from_cache: false, entries: nodes.to_vec() })
     }
 
-    pub fn set_retry_tokens(&mut self, shard: u32, further: u32, come_back: Micros) -> Vec<Action> {
-        self.handle(Event::Allowance { shard: ShardId(shard), further, come_back })
+    pub fn set_retry_tokens(&mut self, shard: u32, tokens: u32, retry_after: Micros) -> Vec<Action> {
+        self.handle(Event::RetryAllowance { shard: ShardId(shard), tokens, retry_after })
     }
 
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
@@ -181,8 +181,8 @@
             outcome,
             settled,
             latency: self.now - sent,
-            metered: None,
-            elsewhere: 0.0,
+            metered_use: None,
+            units_elsewhere: 0.0,
         }))
     }
 
@@ -202,7 +202,7 @@
     /// The advice of the refusal of a request, if it was refused.
     pub fn refused(&self, id: u64) -> Option<Micros> {
         self.log.iter().find_map(|(_, a)| match a {
-            Action::Refuse { request, come_back } if request.0 == id => Some(*come_back),
+            Action::Refuse { request, retry_after } if request.0 == id => Some(*retry_after),
             _ => None,
         })
     }
--- a/crates/decisions/tests/stands.rs
+++ b/crates/decisions/tests/stands.rs
@@ -10,7 +10,7 @@
     NodeEntry { node: NodeId(0), zone: 0, shard: ShardId(0), state, started }
 }
 
-fn request_for(id: u64, patience: Micros) -> Request {
+fn request_for(id: u64, timeout: Micros) -> Request {
     Request {
         id: RequestId(id),
         class: 0,
@@ -20,8 +20,8 @@
         shard: Some(ShardId(0)),
         units: 1.0,
         hosts: 1,
-        patience,
-        retry: false,
+        timeout,
+        is_retry: false,
         client: None,
     }
 }
@@ -34,8 +34,8 @@
         outcome,
         settled: false,
         latency: 10_000,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
 
@@ -68,7 +68,7 @@
 
     fn list(&mut self, state: NodeState, started: Option<Micros>) -> Vec<Action> {
         let entries = vec![entry(state, started)];
-        self.handle(Event::Nodes { whole: true, remembered: false, entries })
+        self.handle(Event::Nodes { complete: true, from_cache: false, entries })
     }
 
     fn is_valid(&self, attempt: u32) -> bool {
@@ -105,8 +105,8 @@
 #[test]
 fn an_attempt_is_invalid_when_its_node_drains_or_restarts_and_is_sent_again() {
     // An attempt that was never sent uses nothing of the retry budget.
-    let budget = Some(RetryBudget { window: 5 * SECOND, free: 0.0, share: 0.0 });
-    let mut host = Host::with_attempt(Settings { budget, ..settings() });
+    let budget = Some(RetryBudget { window: 5 * SECOND, base: 0.0, per_request: 0.0 });
+    let mut host = Host::with_attempt(Settings { retry_budget: budget, ..settings() });
     host.list(NodeState::Draining, None);
     assert!(!host.is_valid(0));
     let actions = host.handle(ended(0, Outcome::NotSent));
@@ -132,8 +132,8 @@
 fn a_keyed_retry_is_invalid_after_the_window_of_the_first_attempt() {
     let window = 300_000;
     let mut host_settings = settings();
-    host_settings.classes = vec![class(Repeats::Keyed { group: Group::All, window })];
-    host_settings.budget = Some(RetryBudget { window: 5 * SECOND, free: 1.0, share: 0.0 });
+    host_settings.classes = vec![class(Idempotency::Keyed { scope: DedupScope::All, window })];
+    host_settings.retry_budget = Some(RetryBudget { window: 5 * SECOND, base: 1.0, per_request: 0.0 });
     let mut host = Host::with_attempt(host_settings);
     host.now += 50_000;
     let actions = host.handle(ended(0, Outcome::Reset));
@@ -150,7 +150,7 @@
 #[test]
 fn a_request_is_answered_by_its_shortened_deadline() {
     let mut host = Host::with_attempt(settings());
-    let actions = host.handle(Event::Hastened { request: RequestId(1), patience: 200_000 });
+    let actions = host.handle(Event::DeadlineShortened { request: RequestId(1), timeout: 200_000 });
     let mut timers = host.timers.clone();
     assert!(!is_answered(&actions));
     host.now += 200_000;
--- a/crates/gateway/src/engine/commands.rs
+++ b/crates/gateway/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! Client commands: accepting, refusing, aborting and answering them.
 
 use nvme::{Completion, IoCommand, Status as NvmeStatus, StatusCode};
-use repeats::key_of_host;
+use repeats::host_request_key;
 use storage_core::{Answer, ClientId, Micros, Operation, OperationId};
 
 use super::{AcceptedCommand, Client, Engine};
@@ -37,7 +37,7 @@
             return self.refuse(id, command.cid, come_back);
         }
         let bytes = self.command_bytes(&command);
-        let exceeded = self.front_end.gate().take(id, bytes).err();
+        let exceeded = self.front_end.client_limits().acquire(id, bytes).err();
         if let Some(limit) = exceeded {
             tracing::debug!(over = %limit, "command refused by a gateway limit");
         }
@@ -49,9 +49,9 @@
             // The command never becomes a request: the gateway is stopping, an operator holds the volume or
             // has paused everything, or this host has reached its limit of held commands.
             if exceeded.is_none() {
-                self.front_end.gate().done(id, bytes);
+                self.front_end.client_limits().release(id, bytes);
             }
-            let come_back = self.options.catalogue.settings.most_advice;
+            let come_back = self.options.catalogue.settings.max_retry_after;
             return self.refuse(id, command.cid, come_back);
         }
         self.next_operation_id += 1;
@@ -67,7 +67,7 @@
         self.accepted
             .insert(operation_id, AcceptedCommand { connection: id, cid, bytes, expected, identity });
         let retry = identity.is_some_and(|identity| identity.is_retry);
-        let client = (!host.is_empty()).then(|| ClientId(key_of_host(&host, 0)));
+        let client = (!host.is_empty()).then(|| ClientId(host_request_key(&host, 0)));
         let operation =
             Operation { id: operation_id, opcode, nsid, slba, blocks, data, token, retry, client };
         self.core.submit(now, operation, &mut self.effects);
@@ -136,7 +136,7 @@
         else {
             return;
         };
-        self.front_end.gate().done(id, bytes);
+        self.front_end.client_limits().release(id, bytes);
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.operation_ids.remove(&cid);
         self.answer(id, cid, completion);
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -10,8 +10,8 @@
 use nvme::IoCommand;
 use peer::{PeerName, Told};
 use repeats::{
-    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardLook, ShardState, key_of,
-    key_of_host,
+    Allowance, Allowances, Cap, CapOptions, Counts, Input, KIND, Output, ShardSnapshot, ShardState,
+    host_request_key, request_key,
 };
 use storage_core::{AttemptId, Micros, OutgoingAttempt, RetryDemand, Shortage};
 
@@ -28,6 +28,7 @@
     pub(crate) is_retry: bool,
 }
 
+/// The fleet's cap on retries, with what has been reported to it and to the decision module.
 pub(crate) struct RetryCap {
     cap: Cap,
     peer_network: PeerNetwork,
@@ -68,24 +69,24 @@
         self.cap.next_due()
     }
 
-    pub(crate) fn snapshot(&self, now: Micros) -> (Vec<ShardLook>, Counts) {
-        (self.cap.look(now), self.cap.counts())
+    pub(crate) fn snapshot(&self, now: Micros) -> (Vec<ShardSnapshot>, Counts) {
+        (self.cap.snapshot(now), self.cap.counts())
     }
 
     /// Whether the allowance given to the module is out of date.
     pub(crate) fn is_stale(&self, now: Micros) -> bool {
-        self.cap.is_behind(now)
+        self.cap.needs_tick(now)
     }
 
     /// The next allowance for the module. Sends that result from it must be reported before the next call.
     pub(crate) fn next_allowance(&mut self) -> Option<Allowance> {
-        self.allowances.next_untold()
+        self.allowances.next_notification()
     }
 
     /// The limit of requests waiting for a shard's retry tokens, if it differs from what the module was
     /// given.
     pub(crate) fn new_waiting_limit(&mut self, shard: u32) -> Option<u32> {
-        let limit = self.cap.may_wait(shard);
+        let limit = self.cap.wait_limit(shard);
         (self.waiting_limits.insert(shard, limit) != Some(limit)).then_some(limit)
     }
 
@@ -95,7 +96,7 @@
     /// make the reads of all others count as retries. The cost is that a host which reconnects under another
     /// name is not recognized.
     pub(crate) fn key(host: &str, command: &IoCommand) -> u64 {
-        key_of_host(host, key_of(command.nsid, command.slba, command.opcode, command.blocks))
+        host_request_key(host, request_key(command.nsid, command.slba, command.opcode, command.blocks))
     }
 
     /// Whether such a command ended unserved within the window, here or at a peer.
@@ -109,19 +110,19 @@
         if send.is_retry {
             self.allowances.spend(send.shard.0);
         }
-        self.handle(now, Input::Sent { shard: send.shard.0, further: send.is_retry });
+        self.handle(now, Input::AttemptSent { shard: send.shard.0, is_retry: send.is_retry });
     }
 
     /// Whether a shadow copy may be sent to a shard: only beside normal traffic, and with a retry token of
     /// its own.
     pub(crate) fn allows_copy(&self, shard: u32) -> bool {
-        self.cap.state(shard) == ShardState::Normal && self.allowances.left(shard).is_some_and(|n| n > 0)
+        self.cap.state(shard) == ShardState::Normal && self.allowances.remaining(shard).is_some_and(|n| n > 0)
     }
 
     /// A shadow copy is sent.
     pub(crate) fn copy_sent(&mut self, now: Micros, shard: u32) {
-        self.allowances.take(shard);
-        self.handle(now, Input::Sent { shard, further: true });
+        self.allowances.spend_and_notify(shard);
+        self.handle(now, Input::AttemptSent { shard, is_retry: true });
     }
 
     /// An attempt has ended or is no longer awaited. An attempt that was never sent has spent its token all
@@ -132,7 +133,7 @@
         if refused {
             self.refused_since_report.insert(shard, true);
         }
-        self.handle(now, Input::Ended { shard, served, refused });
+        self.handle(now, Input::AttemptEnded { shard, served, refused });
     }
 
     /// An operation ended unserved, before or after part of it was sent.
@@ -146,20 +147,20 @@
         let is_recovering =
             matches!(self.cap.state(identity.shard), ShardState::Recovering | ShardState::Widening);
         if was_sent || identity.is_retry && is_recovering {
-            self.handle(now, Input::Unserved { key: identity.key });
+            self.handle(now, Input::RequestUnserved { key: identity.key });
         }
     }
 
     /// A part was refused for lack of retry tokens.
     pub(crate) fn tokens_wanted(&mut self, now: Micros, demand: RetryDemand) {
         let RetryDemand { shard, worth, remaining_time: left } = demand;
-        self.handle(now, Input::Wanted { shard: shard.0, worth, left });
+        self.handle(now, Input::RetryRejected { shard: shard.0, worth, remaining: left });
     }
 
     /// The number of parts waiting for a shard's retry tokens changed.
     pub(crate) fn waiting_changed(&mut self, now: Micros, shortage: Shortage) {
         let Shortage { shard, waiting, worth } = shortage;
-        self.handle(now, Input::Waiting { shard: shard.0, waiting, worth });
+        self.handle(now, Input::RetriesWaiting { shard: shard.0, waiting, worth });
     }
 
     /// Reports the shards with a node that this gateway itself sees cold or silent.
@@ -173,7 +174,7 @@
         for (shard, has_trouble) in shards {
             let is_recovering = has_trouble || refused.contains_key(&shard);
             if self.reported_trouble.insert(shard, is_recovering) != Some(is_recovering) {
-                self.handle(now, Input::Recovers { shard, on: is_recovering });
+                self.handle(now, Input::NodeTrouble { shard, present: is_recovering });
             }
         }
     }
@@ -182,16 +183,16 @@
     pub(crate) fn set_peers(&mut self, now: Micros, peers: Vec<PeerName>) {
         if peers != self.peers {
             self.peers.clone_from(&peers);
-            self.handle(now, Input::Peers(peers));
+            self.handle(now, Input::PeersChanged(peers));
         }
     }
 
     pub(crate) fn on_peer_event(&mut self, now: Micros, event: Told) {
         match event {
             Told::Noted { peer, life, kind: KIND, body } => {
-                self.handle(now, Input::Heard { from: peer, life, body })
+                self.handle(now, Input::MessageReceived { from: peer, life, body })
             }
-            Told::Renewed { life } => self.handle(now, Input::Renewed(life)),
+            Told::Renewed { life } => self.handle(now, Input::LifeRenewed(life)),
             _ => {}
         }
     }
@@ -205,10 +206,12 @@
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, body } => self.peer_network.note_to(&to, KIND, body),
-                Output::Allow(allowance) => self.allowances.say(allowance),
-                Output::Entered { shard, state, why } => tracing::info!(shard, ?state, why, "repeats"),
-                Output::TurnedAway { from, why } => {
-                    tracing::warn!(%from, why, "rejected a peer's message about retry tokens");
+                Output::Allow(allowance) => self.allowances.set(allowance),
+                Output::StateChanged { shard, state, reason } => {
+                    tracing::info!(shard, ?state, why = reason, "repeats")
+                }
+                Output::MessageRejected { from, reason } => {
+                    tracing::warn!(%from, why = reason, "rejected a peer's message about retry tokens");
                 }
             }
         }
--- a/crates/gateway/src/status/fleet.rs
+++ b/crates/gateway/src/status/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet, the retry cap and the shadow trial as shown on the control socket.
 
-use repeats::ShardLook;
+use repeats::ShardSnapshot;
 use serde::{Deserialize, Serialize};
 use shadow::{Enough, Verdict};
 use storage_core::Micros;
@@ -31,9 +31,11 @@
     /// Suspicions of this gateway that it refuted.
     pub refutations: u64,
     /// Messages from members that were rejected.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_messages: u64,
     /// How often this gateway found that its own process had been suspended.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub suspensions: u64,
 }
 
 /// A member of the fleet.
@@ -99,8 +101,8 @@
             bytes_out: counts.bytes_out,
             standings: counts.standings,
             refutations: counts.refutations,
-            turned_away: counts.turned_away,
-            late: counts.late,
+            rejected_messages: counts.turned_away,
+            suspensions: counts.late,
         }
     }
 }
@@ -109,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryCapStatus {
     /// Each shard; the last entry, without a number, is the total.
-    pub shards: Vec<ShardLook>,
+    pub shards: Vec<ShardSnapshot>,
     /// Totals of this life.
     pub counts: repeats::Counts,
 }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use decisions::{Micros, NodeId, NodeState, Outcome, RequestId};
 use dispatch::{AttemptId, Command, Dispatcher, Verdict};
-use http1::{Incoming, Limits, Request};
+use http1::{Limits, Request, RequestEvent};
 use profile::Service;
 
 use crate::admission::{AdmittedRequest, Rejection, admit};
@@ -132,7 +132,7 @@
         let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
             service: config.service.clone(),
-            cancel_attempts: config.settings.cancel,
+            cancel_attempts: config.settings.cancellation,
             settings: config.settings.clone(),
             limits,
             dispatcher: Dispatcher::new(config.settings.clone(), config.seed),
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -8,7 +8,7 @@
 
 use decisions::{Micros, NodeId, Outcome};
 use dispatch::AttemptId;
-use http1::{Answer, AnswerDecoder, Limits};
+use http1::{Limits, Response, ResponseDecoder};
 
 use crate::socket::ConnectionEnd;
 use cooldown::COOLDOWN;
@@ -32,7 +32,7 @@
     phase: Phase,
     /// When it entered its phase.
     since: Micros,
-    decoder: AnswerDecoder,
+    decoder: ResponseDecoder,
 }
 
 /// The nodes' addresses and the connections to each node.
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub(crate) struct ConnectionUpdate {
     /// The attempt on the connection ended with this outcome.
-    pub(crate) finished: Option<(AttemptId, Outcome, Option<Answer>)>,
+    pub(crate) finished: Option<(AttemptId, Outcome, Option<Response>)>,
     /// The connection is to be closed.
     pub(crate) close: bool,
     /// This attempt waited for the connection and was never sent: it needs another one.
@@ -202,7 +202,7 @@
         }
         let id = self.next_id;
         self.next_id += 1;
-        let (phase, decoder) = (Phase::Connecting(Some(attempt)), AnswerDecoder::new(self.limits));
+        let (phase, decoder) = (Phase::Connecting(Some(attempt)), ResponseDecoder::new(self.limits));
         self.connections.insert(id, NodeConnection { node, address, phase, since: now, decoder });
         self.by_attempt.insert(attempt, id);
         self.timers.insert((now + self.connect_timeout, id));
@@ -228,10 +228,10 @@
             // with it. The connection is closed, whatever the node sent; the cost is a new connection.
             return ConnectionUpdate { close: true, ..self.ended(id, ConnectionEnd::Cut) };
         };
-        let buffered_before = connection.decoder.held();
+        let buffered_before = connection.decoder.buffered_bytes();
         connection.decoder.receive(bytes);
         let polled = connection.decoder.poll();
-        self.buffered = self.buffered + connection.decoder.held() - buffered_before;
+        self.buffered = self.buffered + connection.decoder.buffered_bytes() - buffered_before;
         match polled {
             Ok(None) if self.buffered <= self.max_buffered => ConnectionUpdate::default(),
             Ok(None) => {
@@ -250,8 +250,8 @@
                 }
             }
             Ok(Some(answer)) => {
-                let kept = answer.keep
-                    && connection.decoder.is_between()
+                let kept = answer.keep_alive
+                    && connection.decoder.is_idle()
                     && self.addresses.get(&connection.node) == Some(&connection.address);
                 self.by_attempt.remove(&attempt);
                 if kept {
@@ -292,9 +292,7 @@
             Phase::Connecting(Some(attempt)) => Some((attempt, Outcome::Unreachable, None)),
             Phase::Busy(attempt) => Some(match end {
                 // A node that has begun to respond has seen enough of the request to have executed something.
-                ConnectionEnd::Cut if connection.decoder.is_between() => {
-                    (attempt, Outcome::Unreachable, None)
-                }
+                ConnectionEnd::Cut if connection.decoder.is_idle() => (attempt, Outcome::Unreachable, None),
                 ConnectionEnd::Cut | ConnectionEnd::Broken => (attempt, Outcome::Reset, None),
                 ConnectionEnd::Orderly => match connection.decoder.end() {
                     Some(answer) => (attempt, crate::outcome::attempt_outcome(&answer), Some(answer)),
@@ -350,7 +348,7 @@
 
     fn remove(&mut self, id: ConnectionId) -> Option<NodeConnection> {
         let connection = self.connections.remove(&id)?;
-        self.buffered -= connection.decoder.held();
+        self.buffered -= connection.decoder.buffered_bytes();
         match &connection.phase {
             Phase::Connecting(waiting) => {
                 self.timers.remove(&(connection.since + self.connect_timeout, id));
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -87,7 +87,7 @@
         let limits = Limits { head: MAX_HEAD, body: MAX_LIST, informational: 8 };
         self.phase = Phase::Reading(Box::new((StreamDecoder::new(limits), ObjectSplitter::new(MAX_LIST))));
         self.last_input_at = now;
-        http1::request("GET", &format!("/v1/endpoints?watch=1&after={after}"), &[("Host", host)], &[])
+        http1::encode_request("GET", &format!("/v1/endpoints?watch=1&after={after}"), &[("Host", host)], &[])
     }
 
     /// Handles bytes received.
@@ -105,7 +105,7 @@
         received.finished = loop {
             let piece = match stream.poll() {
                 Ok(Some(piece)) => piece,
-                Ok(None) => break stream.is_over() || stream.status().is_some_and(|s| s != 200),
+                Ok(None) => break stream.is_complete() || stream.status().is_some_and(|s| s != 200),
                 Err(fault) => {
                     tracing::warn!(%fault, "invalid HTTP response from discovery");
                     break true;
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -50,18 +50,18 @@
     /// Retries that the scheduler may still send; none before the first notification.
     pub(crate) allowed: Option<u32>,
     pub(crate) notified_at: Micros,
-    pub(crate) come_back: Micros,
+    pub(crate) retry_after: Micros,
     /// The highest worth among recently rejected requests, and since when no retry has been allowed.
     pub(crate) highest_worth: f64,
     pub(crate) none_allowed_since: Option<Micros>,
-    pub(crate) held_back: u64,
+    pub(crate) rejected: u64,
     /// Rejected requests for which there was a token that the scheduler had not been notified of.
-    pub(crate) not_told: u64,
+    pub(crate) rejected_with_token: u64,
     /// Requests that wait in the scheduler for a token, and since when at least one has been waiting.
     pub(crate) waiting: u32,
     pub(crate) waiting_since: Option<Micros>,
     /// The wait limit in the last notification.
-    pub(crate) may_wait: u32,
+    pub(crate) wait_limit: u32,
 }
 
 impl ShardCap {
@@ -81,14 +81,14 @@
             fleet_quota: 0,
             allowed: None,
             notified_at: now,
-            come_back: 0,
+            retry_after: 0,
             highest_worth: 0.0,
             none_allowed_since: None,
-            held_back: 0,
-            not_told: 0,
+            rejected: 0,
+            rejected_with_token: 0,
             waiting: 0,
             waiting_since: None,
-            may_wait: 0,
+            wait_limit: 0,
         };
         shard_cap.draw_retry_after(options, durations, rng);
         shard_cap
@@ -186,13 +186,13 @@
         let tokens = base_tokens + self.share(options) * f64::from(last.served);
         let mut span = options.window as f64 * f64::from(last.rejected) / tokens.max(0.1);
         if self.health.state().0 == ShardState::Recovering {
-            span = span.max(options.warming as f64);
+            span = span.max(options.warm_up as f64);
         }
         // All requests rejected in one slice at one gateway get the same delay, so they return within
         // one slice. Slices and gateways draw independently.
         let max_delay =
-            (span as Micros).clamp(4 * durations.slice, options.most_advice.max(4 * durations.slice));
-        self.come_back = rng.random_range(durations.slice..=max_delay).min(options.most_advice);
+            (span as Micros).clamp(4 * durations.slice, options.max_retry_after.max(4 * durations.slice));
+        self.retry_after = rng.random_range(durations.slice..=max_delay).min(options.max_retry_after);
     }
 
     /// The allowance that the scheduler has to be notified of now, if any. Decreases are reported at
@@ -208,7 +208,7 @@
         durations: &Durations,
     ) -> Option<Allowance> {
         let sendable = self.sendable();
-        let may_wait = self.compute_wait_limit(now, options, durations);
+        let wait_limit = self.compute_wait_limit(now, options, durations);
         if sendable > 0 {
             self.none_allowed_since = None;
         }
@@ -220,12 +220,12 @@
                 now >= self.notified_at.saturating_add(durations.step)
                     && sendable - before >= (before / 4).max(1)
             }
-            Some(_) => self.notified_at == Micros::MIN || may_wait != self.may_wait,
+            Some(_) => self.notified_at == Micros::MIN || wait_limit != self.wait_limit,
         };
         if !is_due {
             return None;
         }
-        (self.allowed, self.notified_at, self.may_wait) = (Some(sendable), now, may_wait);
-        Some(Allowance { shard: self.shard, further: sendable, come_back: self.come_back })
+        (self.allowed, self.notified_at, self.wait_limit) = (Some(sendable), now, wait_limit);
+        Some(Allowance { shard: self.shard, retries: sendable, retry_after: self.retry_after })
     }
 }
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -8,7 +8,7 @@
 /// A snapshot of one shard at this gateway. Token counts are in whole tokens with fractions; totals are
 /// of this life.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardLook {
+pub struct ShardSnapshot {
     /// The shard; none for all shards of the fleet together.
     pub shard: Option<u32>,
     /// Its state; for all shards together the most severe.
@@ -16,13 +16,16 @@
     /// How long it has been in that state, microseconds.
     pub since: Micros,
     /// Why it entered that state.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Tokens available now.
-    pub left: f64,
+    #[serde(rename = "left")]
+    pub available: f64,
     /// Retries that the scheduler may send now.
     pub allowed: u32,
     /// The retry delay advised to rejected requests, microseconds.
-    pub come_back: Micros,
+    #[serde(rename = "come_back")]
+    pub retry_after: Micros,
     /// Tokens leased to peers.
     pub lent: f64,
     /// Tokens borrowed from peers.
@@ -32,10 +35,11 @@
     /// Tokens spent on retries.
     pub spent: f64,
     /// Requests rejected for lack of a token.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub rejected: u64,
     /// Rejected requests for which there was a token that the scheduler had not been notified of.
-    #[serde(default)]
-    pub not_told: u64,
+    #[serde(default, rename = "not_told")]
+    pub rejected_with_token: u64,
     /// Requests that wait for a token now.
     #[serde(default)]
     pub waiting: u32,
--- a/crates/world/src/world/asking.rs
+++ b/crates/world/src/world/asking.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use http1::{Answer, AnswerDecoder};
+use http1::{Response, ResponseDecoder};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 
@@ -50,7 +50,7 @@
             Some(conn) => conn,
             None if !self.gateways[g].listening => return self.over(id, |t| &mut t.nobody),
             None => {
-                let decoder = AnswerDecoder::new(LIMITS);
+                let decoder = ResponseDecoder::new(LIMITS);
                 let peer =
                     Peer::Client { decoder, requests: VecDeque::new(), early: Vec::new(), over: false };
                 let conn = self.add_conn(g, None, peer);
@@ -134,7 +134,7 @@
         {
             let Ok(Some(answer)) = decoder.poll() else { return };
             let Some(id) = requests.pop_front() else { return };
-            let free = answer.keep && requests.is_empty();
+            let free = answer.keep_alive && requests.is_empty();
             if free && self.scenario.persist && self.gateways[g].left.is_some() {
                 self.line.plan(THINKS, Event::Presses(conn));
             } else if free {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, id: u64, answer: &Answer) {
+    fn answered(&mut self, now: Micros, id: u64, answer: &Response) {
         // Nodes put the request's id into the body.
         let wrong = answer.status == 200 && answer.body.as_ref() != id.to_string().as_bytes();
         self.tally.wrong += u64::from(wrong);
@@ -158,7 +158,7 @@
             429 | 503 => {
                 self.over(id, |t| &mut t.refused);
                 if self.scenario.returns && !again {
-                    let advice = answer.fields.only("retry-after").ok().flatten();
+                    let advice = answer.fields.unique("retry-after").ok().flatten();
                     let advice = advice.and_then(|a| std::str::from_utf8(a).ok()?.parse::<f64>().ok());
                     let after = (advice.unwrap_or(0.1) * 1e6) as Micros;
                     self.comes_again(id, after);
