--- a/crates/repeats/tests/accounts.rs
+++ b/crates/repeats/tests/accounts.rs
@@ -33,7 +33,7 @@
 struct Fleet {
     now: Micros,
     gateways: Vec<Gateway>,
-    wants: Vec<(usize, usize, LeaseRequest)>,
+    requests: Vec<(usize, usize, LeaseRequest)>,
     grants: Vec<(usize, usize, LeaseGrant)>,
     uses: Vec<Micros>,
     served: Vec<Micros>,
@@ -53,7 +53,7 @@
         let mut fleet = Fleet {
             now: 0,
             gateways,
-            wants: Vec::new(),
+            requests: Vec::new(),
             grants: Vec::new(),
             uses: Vec::new(),
             served: Vec::new(),
@@ -90,16 +90,17 @@
             let name = self.gateways[lender].name.clone();
             let request =
                 self.gateways[gateway].leases.create_request(now, Some(0), 2 * ONE_TOKEN, 1.0, &[name]);
-            self.wants.push((gateway, lender, request));
+            self.requests.push((gateway, lender, request));
         }
     }
 
     fn deliver_request(&mut self, at: usize, duplicate: bool) {
-        if self.wants.is_empty() {
+        if self.requests.is_empty() {
             return;
         }
-        let at = at % self.wants.len();
-        let (from, to, request) = if duplicate { self.wants[at].clone() } else { self.wants.remove(at) };
+        let at = at % self.requests.len();
+        let (from, to, request) =
+            if duplicate { self.requests[at].clone() } else { self.requests.remove(at) };
         let (now, name) = (self.clock(to), self.gateways[from].name.clone());
         let gateway = &mut self.gateways[to];
         if gateway.leases.is_new_request(&name, &request) {
--- a/crates/repeats/tests/fleet_quota.rs
+++ b/crates/repeats/tests/fleet_quota.rs
@@ -15,15 +15,15 @@
     cap: Cap,
     allowances: Allowances,
     scheduler: BTreeMap<u32, u32>,
-    notes: Vec<(PeerName, Vec<u8>)>,
+    outgoing: Vec<(PeerName, Vec<u8>)>,
     now: Micros,
 }
 
 impl Gateway {
     fn new(options: CapOptions) -> Self {
         let cap = Cap::new(options, LIFE, 0, 1);
-        let (allowances, scheduler, notes) = (Allowances::default(), BTreeMap::new(), Vec::new());
-        let mut gateway = Gateway { cap, allowances, scheduler, notes, now: 0 };
+        let (allowances, scheduler, outgoing) = (Allowances::default(), BTreeMap::new(), Vec::new());
+        let mut gateway = Gateway { cap, allowances, scheduler, outgoing, now: 0 };
         gateway.handle_input(Input::Tick);
         gateway.notify();
         gateway
@@ -35,7 +35,7 @@
         for output in out {
             match output {
                 Output::Allow(allowance) => self.allowances.set(allowance),
-                Output::Send { to, body } => self.notes.push((to, body)),
+                Output::Send { to, body } => self.outgoing.push((to, body)),
                 _ => {}
             }
         }
@@ -108,7 +108,7 @@
             cap: gateway.cap.clone(),
             allowances: gateway.allowances.clone(),
             scheduler: gateway.scheduler.clone(),
-            notes: Vec::new(),
+            outgoing: Vec::new(),
             now: gateway.now,
         };
         gateway.handle_input(Input::RetriesWaiting { shard: 1, waiting: 8, worth: 9.0 });
@@ -213,7 +213,7 @@
     let mut request = None;
     for _ in 0..40 {
         gateway.advance(1_000);
-        let messages = std::mem::take(&mut gateway.notes)
+        let messages = std::mem::take(&mut gateway.outgoing)
             .into_iter()
             .filter_map(|(_, body)| CapMessage::decode(&body).ok());
         request = messages.flat_map(|w| w.wants).find(|w| w.shard == Some(1));
--- a/crates/repeats/tests/model.rs
+++ b/crates/repeats/tests/model.rs
@@ -35,7 +35,7 @@
 struct State {
     time: u8,
     gateways: Vec<(Account, LeaseBook, u64)>,
-    wants: Vec<RequestKey>,
+    requests: Vec<RequestKey>,
     grants: Vec<(usize, LeaseGrant)>,
     uses: Vec<Micros>,
     remaining: (u8, u8, u8),
@@ -45,7 +45,7 @@
 enum ModelAction {
     Time,
     Use(usize),
-    Ask(usize),
+    RequestLease(usize),
     /// A message arrives; if the flag is set, a duplicate stays in flight.
     DeliverRequest(usize, bool),
     DeliverGrant(usize, bool),
@@ -70,11 +70,11 @@
         let durations = self.options().durations();
         let gateway =
             |_| (Account::new(durations, BASE, 0), LeaseBook::new(durations, life(1), 2, self.fault), 1);
-        let (wants, grants, uses) = (Vec::new(), Vec::new(), Vec::new());
+        let (requests, grants, uses) = (Vec::new(), Vec::new(), Vec::new());
         let mut state = State {
             time: 0,
             gateways: (0..2).map(gateway).collect(),
-            wants,
+            requests,
             grants,
             uses,
             remaining: self.remaining,
@@ -93,7 +93,7 @@
                 possible.push(ModelAction::Use(gateway));
             }
             if state.remaining.0 > 0 {
-                possible.push(ModelAction::Ask(gateway));
+                possible.push(ModelAction::RequestLease(gateway));
             }
             if state.remaining.2 > 0 {
                 possible.push(ModelAction::Restart(gateway));
@@ -102,7 +102,7 @@
         // A lost message is one that is never delivered.
         for duplicate in [false, true] {
             if !duplicate || state.remaining.1 > 0 {
-                possible.extend((0..state.wants.len()).map(|i| ModelAction::DeliverRequest(i, duplicate)));
+                possible.extend((0..state.requests.len()).map(|i| ModelAction::DeliverRequest(i, duplicate)));
                 possible.extend((0..state.grants.len()).map(|i| ModelAction::DeliverGrant(i, duplicate)));
             }
         }
@@ -121,7 +121,7 @@
                 state.gateways[gateway].0.spend(now, ONE_TOKEN);
                 state.uses.push(now);
             }
-            ModelAction::Ask(gateway) => {
+            ModelAction::RequestLease(gateway) => {
                 state.remaining.0 -= 1;
                 let request = state.gateways[gateway].1.create_request(
                     now,
@@ -130,14 +130,14 @@
                     1.0,
                     &[name(1 - gateway)],
                 );
-                state.wants.push((gateway, request.number, request.life));
+                state.requests.push((gateway, request.number, request.life));
             }
             ModelAction::DeliverRequest(at, duplicate) => {
-                let (from, number, life) = state.wants[at];
+                let (from, number, life) = state.requests[at];
                 if duplicate {
                     state.remaining.1 -= 1;
                 } else {
-                    state.wants.remove(at);
+                    state.requests.remove(at);
                 }
                 let request = LeaseRequest { number, shard: Some(0), amount: ONE_TOKEN, worth: 1.0, life };
                 let (account, leases, _) = &mut state.gateways[1 - from];
--- a/crates/repeats/tests/rig/check.rs
+++ b/crates/repeats/tests/rig/check.rs
@@ -20,7 +20,7 @@
 
 /// The limit to check: retries <= free + share x served, in all windows that lie in `within`.
 #[derive(Clone, Copy, Debug)]
-pub struct Rule {
+pub struct Limit {
     pub window: i64,
     pub free: f64,
     pub share: f64,
@@ -36,7 +36,7 @@
 pub struct Worst {
     /// Retries beyond the limit; negative if some were left.
     pub excess: f64,
-    pub further: usize,
+    pub retries: usize,
     pub bound: f64,
     pub at: i64,
 }
@@ -48,7 +48,7 @@
 impl Records {
     /// Arrival times of the attempts after the first of their request. The first is the one that arrived
     /// first at any node.
-    pub fn further(&self, shard: Option<u32>) -> Vec<i64> {
+    pub fn retries(&self, shard: Option<u32>) -> Vec<i64> {
         let mut seen = BTreeSet::new();
         let mut arrivals = self.arrivals.clone();
         arrivals.sort_by_key(|a| a.at);
@@ -57,24 +57,25 @@
     }
 
     /// Checks every window that ends with a retry against the limit.
-    pub fn check(&self, rule: &Rule) -> Worst {
-        let further = self.further(rule.shard);
+    pub fn check(&self, limit: &Limit) -> Worst {
+        let retries = self.retries(limit.shard);
         let mut served: Vec<i64> =
-            self.served.iter().filter(|s| is_in(rule.shard, s.1)).map(|s| s.0).collect();
+            self.served.iter().filter(|s| is_in(limit.shard, s.1)).map(|s| s.0).collect();
         served.sort_unstable();
         let between = |list: &[i64], from: i64, to: i64| {
             list.partition_point(|&t| t <= to) - list.partition_point(|&t| t <= from)
         };
         let mut worst = Worst { excess: f64::NEG_INFINITY, ..Worst::default() };
-        for &at in &further {
-            if at > rule.within.1 || at - rule.window < rule.within.0 {
+        for &at in &retries {
+            if at > limit.within.1 || at - limit.window < limit.within.0 {
                 continue;
             }
-            let count = between(&further, at - rule.window, at);
-            let bound = rule.free + rule.share * between(&served, at - rule.window - rule.before, at) as f64;
+            let count = between(&retries, at - limit.window, at);
+            let bound =
+                limit.free + limit.share * between(&served, at - limit.window - limit.before, at) as f64;
             let excess = count as f64 - bound;
             if excess > worst.excess {
-                worst = Worst { excess, further: count, bound, at };
+                worst = Worst { excess, retries: count, bound, at };
             }
         }
         worst
@@ -82,16 +83,16 @@
 
     /// Attempts per first attempt, in the worst of a series of windows that overlap by half.
     pub fn amplification(&self, shard: u32, window: i64) -> f64 {
-        let further = self.further(Some(shard));
+        let retries = self.retries(Some(shard));
         let mut worst = 1.0_f64;
         let mut all: Vec<i64> = self.arrivals.iter().filter(|a| a.shard == shard).map(|a| a.at).collect();
         all.sort_unstable();
         let (mut from, last) = (0, all.last().copied().unwrap_or(0));
         while from < last {
             let count = |list: &[i64]| list.iter().filter(|&&t| (from..from + window).contains(&t)).count();
-            let (sends, again) = (count(&all), count(&further));
-            if sends > again {
-                worst = worst.max(sends as f64 / (sends - again) as f64);
+            let (sends, retry_count) = (count(&all), count(&retries));
+            if sends > retry_count {
+                worst = worst.max(sends as f64 / (sends - retry_count) as f64);
             }
             from += window / 2;
         }
--- a/crates/repeats/tests/rig/gateway.rs
+++ b/crates/repeats/tests/rig/gateway.rs
@@ -43,13 +43,13 @@
     pub allowed: BTreeMap<u32, (u32, Micros)>,
     /// Consecutive attempts without an answer, by node.
     pub unanswered: BTreeMap<usize, u32>,
-    pub held_back: u64,
+    pub rejected: u64,
 }
 
 impl Gateway {
     pub fn new(index: usize, fast: Micros) -> Self {
         let (allowed, unanswered) = (BTreeMap::new(), BTreeMap::new());
-        Gateway { index, fast, life: 0, up: false, limiter: Limiter::None, allowed, unanswered, held_back: 0 }
+        Gateway { index, fast, life: 0, up: false, limiter: Limiter::None, allowed, unanswered, rejected: 0 }
     }
 
     pub fn clock(&self, now: Micros) -> Micros {
--- a/crates/repeats/tests/rig/mod.rs
+++ b/crates/repeats/tests/rig/mod.rs
@@ -279,7 +279,7 @@
 
     fn reject(&mut self, request: usize, gateway: usize, try_number: u32, retry_after: Option<Micros>) {
         let (shard, remaining) = (self.requests[request].shard, CLIENT_TIMEOUT);
-        self.gateways[gateway].held_back += 1;
+        self.gateways[gateway].rejected += 1;
         self.handle_input(gateway, Input::RetryRejected { shard, worth: 1.0, remaining });
         self.schedule_between(
             MILLI,
--- a/crates/repeats/tests/rig/scenario.rs
+++ b/crates/repeats/tests/rig/scenario.rs
@@ -2,7 +2,7 @@
 
 use repeats::{CapOptions, InjectedFault, Micros, RECOVERING_FREE_PART};
 
-use super::check::{Rule, Worst};
+use super::check::{Limit, Worst};
 use super::gateway::{Source, name};
 use super::{MILLI, Rig, SECOND};
 
@@ -107,17 +107,17 @@
         let within = (0, scenario.end);
         // Tokens live for half a window; answers and attempts are in flight for up to 2 ms each.
         let before = o.window / 2 + 5 * MILLI;
-        let rule = |shard, free, share| Rule { window: o.window, free, share, before, shard, within };
-        let rules = (0..scenario.shards).map(|s| rule(Some(s), o.free, o.share));
-        let all = rule(None, o.fleet_free, o.fleet_share);
-        let worst = rules.chain([all]).map(|r| self.records.check(&r));
+        let limit = |shard, free, share| Limit { window: o.window, free, share, before, shard, within };
+        let limits = (0..scenario.shards).map(|s| limit(Some(s), o.free, o.share));
+        let all = limit(None, o.fleet_free, o.fleet_share);
+        let worst = limits.chain([all]).map(|r| self.records.check(&r));
         worst.max_by(|a, b| a.excess.total_cmp(&b.excess)).unwrap_or_default()
     }
 
     /// The worst window while the first shard is silent or cold, starting a second after that began.
     pub fn worst_recovering(&self, scenario: &Scenario) -> Option<Worst> {
         let (o, (from, to)) = (scenario.options(0), scenario.silent?);
-        Some(self.records.check(&Rule {
+        Some(self.records.check(&Limit {
             window: o.window,
             free: o.free * RECOVERING_FREE_PART,
             share: o.recovering_share,
@@ -130,10 +130,10 @@
     /// Fraction of the first shard's requests first sent within this time that were served within a
     /// second.
     pub fn goodput(&self, from: Micros, to: Micros) -> f64 {
-        let asked = self.answers.iter().filter(|a| a.1 == 0 && (from..to).contains(&a.0));
-        let (asked, served) =
-            asked.fold((0_u32, 0_u32), |(n, s), a| (n + 1, s + u32::from(a.2.is_some_and(|t| t <= SECOND))));
-        f64::from(served) / f64::from(asked.max(1))
+        let requested = self.answers.iter().filter(|a| a.1 == 0 && (from..to).contains(&a.0));
+        let (requested, served) = requested
+            .fold((0_u32, 0_u32), |(n, s), a| (n + 1, s + u32::from(a.2.is_some_and(|t| t <= SECOND))));
+        f64::from(served) / f64::from(requested.max(1))
     }
 
     /// How long after the silence goodput returned to 0.95 of its earlier value, for a second and for
@@ -152,8 +152,8 @@
     pub fn usage(&self, scenario: &Scenario) -> f64 {
         let o = scenario.options(0);
         let (from, to) = (3 * SECOND, scenario.end);
-        let further = self.records.further(Some(0)).into_iter().filter(|t| (from..to).contains(t)).count();
+        let retries = self.records.retries(Some(0)).into_iter().filter(|t| (from..to).contains(t)).count();
         let served = self.records.served.iter().filter(|s| s.1 == 0 && (from..to).contains(&s.0)).count();
-        further as f64 / (o.free * (to - from) as f64 / o.window as f64 + o.share * served as f64)
+        retries as f64 / (o.free * (to - from) as f64 / o.window as f64 + o.share * served as f64)
     }
 }
--- a/crates/repeats/tests/scenarios.rs
+++ b/crates/repeats/tests/scenarios.rs
@@ -110,9 +110,9 @@
             Scenario { unmarked: 1.0, fault, end: 13 * SECOND, ..Scenario::collapse(Source::Escrow, SEED) };
         Rig::run(scenario.clone()).worst(&scenario)
     };
-    let (right, forgets) = (worst(None), worst(Some(InjectedFault::SketchForgetsEarly)));
-    println!("{right:?}\n{forgets:?}");
-    assert!(right.excess <= 0.0, "{right:?}");
+    let (correct, forgets) = (worst(None), worst(Some(InjectedFault::SketchForgetsEarly)));
+    println!("{correct:?}\n{forgets:?}");
+    assert!(correct.excess <= 0.0, "{correct:?}");
     assert!(forgets.excess > 0.0, "{forgets:?}");
 }
 
--- a/crates/repeats/tests/telling.rs
+++ b/crates/repeats/tests/telling.rs
@@ -200,7 +200,7 @@
         fleet_free in 1..4u32,
         needed in 0..12u32,
         rest in 0..2 * SLICE,
-        held_back in 1..8u32,
+        rejected in 1..8u32,
     ) {
         let other = SHARDS.into_iter().find(|shard| *shard != idle).expect("another");
         let mut gateway = Gateway::new(8.0, fleet_free.into());
@@ -210,7 +210,7 @@
         gateway.advance(3 * WINDOW / 2);
         gateway.apply(Event::Served(idle, 10));
         gateway.advance(2 * SLICE + rest);
-        gateway.apply(Event::Repeats(other, gateway.allowed(other) as u32 + held_back));
+        gateway.apply(Event::Repeats(other, gateway.allowed(other) as u32 + rejected));
         let (all, since) = (gateway.left(None), gateway.now);
         gateway.advance(STEP);
         let state = format!("{all} available fleet-wide, allowed {:?} since {since}", gateway.allowed);
