--- a/crates/repeats/src/allowances.rs
+++ b/crates/repeats/src/allowances.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::cap::Allowance;
+use crate::interface::Allowance;
 
 /// The allowances of all shards as the scheduler counts them, and the shards whose change it has not
 /// been notified of yet.
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -9,6 +9,7 @@
 
 use crate::Micros;
 use crate::account::Account;
+use crate::interface::{Input, Output};
 use crate::leases::LeaseBook;
 use crate::options::{CapOptions, Durations, InjectedFault, ONE_TOKEN, Overrides, TokenSource};
 use crate::shard::ShardState;
@@ -16,116 +17,6 @@
 use crate::sketch::RepeatSketch;
 use crate::snapshot::{Counts, ShardSnapshot};
 
-/// An event that the cap is notified of.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Input {
-    /// An attempt was sent.
-    AttemptSent {
-        /// The shard it was sent to.
-        shard: u32,
-        /// Whether it is a retry, which needs a token: an attempt after the first of its request, any
-        /// attempt of a request recognized as a repeat, or a shadow copy.
-        is_retry: bool,
-    },
-    /// An attempt ended.
-    AttemptEnded {
-        /// The shard it was sent to.
-        shard: u32,
-        /// A node served it.
-        served: bool,
-        /// A node refused it. With neither flag set, it ended unserved in another way.
-        refused: bool,
-    },
-    /// A request ended here unserved: a later one with the same key, here or at a peer, is its repeat.
-    RequestUnserved {
-        /// Its key, from [`crate::request_key`].
-        key: u64,
-    },
-    /// A request was rejected for lack of tokens.
-    RetryRejected {
-        /// Its shard.
-        shard: u32,
-        /// The worth of answering it.
-        worth: f64,
-        /// The time that remained for it, microseconds.
-        remaining: Micros,
-    },
-    /// The number of requests that wait in the scheduler for a token has changed.
-    RetriesWaiting {
-        /// Their shard.
-        shard: u32,
-        /// How many wait now.
-        waiting: u32,
-        /// The worth of answering the first of them.
-        worth: f64,
-    },
-    /// A node of a shard is cold, silent or refusing, as seen by this gateway or reported by the
-    /// membership view; or none is any more.
-    NodeTrouble {
-        /// The shard.
-        shard: u32,
-        /// Whether there is such a node.
-        present: bool,
-    },
-    /// The peers that may be asked for tokens, from the membership view.
-    PeersChanged(Vec<PeerName>),
-    /// A message of [`crate::KIND`] arrived from a peer.
-    MessageReceived {
-        /// The sender.
-        from: PeerName,
-        /// The sender's life.
-        life: Life,
-        /// The encoded message.
-        body: Vec<u8>,
-    },
-    /// This gateway continues under a new life: its accounts start over, empty for a window.
-    LifeRenewed(Life),
-    /// Time has passed.
-    Tick,
-}
-
-/// The number of retries that the scheduler may send to a shard, until the next allowance.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
-    /// The shard.
-    pub shard: u32,
-    /// Retries that may be sent from now on.
-    pub retries: u32,
-    /// How long rejected requests should stay away before they retry, microseconds.
-    pub retry_after: Micros,
-}
-
-/// What the caller has to do, in this order: a lowered allowance precedes the message that leases the
-/// tokens away.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Send a message of [`crate::KIND`].
-    Send {
-        /// The recipient.
-        to: PeerName,
-        /// The encoded message.
-        body: Vec<u8>,
-    },
-    /// Notify the scheduler of an allowance, which replaces the one before.
-    Allow(Allowance),
-    /// The state of a shard changed, or its step within [`ShardState::Widening`].
-    StateChanged {
-        /// The shard.
-        shard: u32,
-        /// The new state.
-        state: ShardState,
-        /// The reason, for the log and the status page.
-        reason: &'static str,
-    },
-    /// Part of a message was rejected; for the log, once for each reason and peer.
-    MessageRejected {
-        /// The sender.
-        from: PeerName,
-        /// The reason.
-        reason: &'static str,
-    },
-}
-
 /// The retry cap of one gateway.
 ///
 /// The caller passes [`Input::Tick`] when [`Cap::next_due`] is reached, and as the first event after the
@@ -237,13 +128,30 @@
         let step_ended = self.advance(now, out);
         let only_earns = !step_ended && matches!(input, Input::AttemptEnded { .. });
         // Nothing expires between two steps, and most events concern one shard.
-        let event_shard = match input {
-            Input::AttemptSent { shard, .. }
-            | Input::AttemptEnded { shard, .. }
-            | Input::RetryRejected { shard, .. }
-            | Input::RetriesWaiting { shard, .. } => Some(shard),
-            _ => None,
-        };
+        let event_shard = input.shard();
+        self.apply(now, input, out);
+        let overassigned = !only_earns && self.fleet.available() / ONE_TOKEN < self.assigned;
+        if overassigned {
+            // Either the attempts of a batch were counted after their tokens had been reassigned, or
+            // assigned tokens expired.
+            self.distribute();
+        }
+        match event_shard.filter(|_| !step_ended && !overassigned) {
+            Some(shard) => self.update_lacking_quota(shard),
+            None => {
+                self.options.shards.clone().into_iter().for_each(|shard| self.update_lacking_quota(shard))
+            }
+        }
+        match (self.assign_more(now), event_shard.filter(|_| !step_ended && !overassigned)) {
+            (Some(changed), Some(shard)) => {
+                changed.into_iter().chain([shard]).for_each(|shard| self.report_allowance(now, shard, out));
+            }
+            _ => self.report_allowances(now, out),
+        }
+    }
+
+    /// Applies an event to the accounts, states and keys.
+    fn apply(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::AttemptSent { shard, is_retry } => self.record_sent(now, shard, is_retry),
             Input::AttemptEnded { shard, served, refused: _ } => self.record_ended(now, shard, served),
@@ -272,24 +180,6 @@
             Input::LifeRenewed(life) => self.start_new_life(now, life),
             Input::Tick => {}
         }
-        let overassigned = !only_earns && self.fleet.available() / ONE_TOKEN < self.assigned;
-        if overassigned {
-            // Either the attempts of a batch were counted after their tokens had been reassigned, or
-            // assigned tokens expired.
-            self.distribute();
-        }
-        match event_shard.filter(|_| !step_ended && !overassigned) {
-            Some(shard) => self.update_lacking_quota(shard),
-            None => {
-                self.options.shards.clone().into_iter().for_each(|shard| self.update_lacking_quota(shard))
-            }
-        }
-        match (self.assign_more(now), event_shard.filter(|_| !step_ended && !overassigned)) {
-            (Some(changed), Some(shard)) => {
-                changed.into_iter().chain([shard]).for_each(|shard| self.report_allowance(now, shard, out));
-            }
-            _ => self.report_allowances(now, out),
-        }
     }
 
     /// The latest time at which to pass [`Input::Tick`].
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -3,7 +3,8 @@
 use peer::Life;
 
 use crate::Micros;
-use crate::cap::{Cap, Output};
+use crate::cap::Cap;
+use crate::interface::Output;
 use crate::leases::LeaseBook;
 use crate::options::{ONE_TOKEN, SLICES_PER_WINDOW, TokenSource};
 
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -29,6 +29,7 @@
 mod cap;
 mod events;
 mod fleet_quota;
+mod interface;
 mod key;
 pub mod leases;
 pub mod message;
@@ -40,7 +41,8 @@
 mod snapshot;
 
 pub use allowances::Allowances;
-pub use cap::{Allowance, Cap, Input, Output};
+pub use cap::Cap;
+pub use interface::{Allowance, Input, Output};
 pub use key::{host_request_key, request_key};
 pub use message::KIND;
 pub use options::{
--- a/crates/repeats/src/messaging.rs
+++ b/crates/repeats/src/messaging.rs
@@ -5,7 +5,8 @@
 use rand::Rng;
 
 use crate::Micros;
-use crate::cap::{Cap, Output};
+use crate::cap::Cap;
+use crate::interface::Output;
 use crate::message::{CapMessage, LeaseGrant, LeaseRequest};
 use crate::options::{InjectedFault, ONE_TOKEN, RESERVED_PART, TokenSource};
 
--- a/crates/repeats/src/shard_cap.rs
+++ b/crates/repeats/src/shard_cap.rs
@@ -6,7 +6,7 @@
 
 use crate::Micros;
 use crate::account::Account;
-use crate::cap::Allowance;
+use crate::interface::Allowance;
 use crate::options::{CapOptions, Durations, ONE_TOKEN, RECOVERING_FREE_PART, SLICES_PER_WINDOW};
 use crate::shard::{ShardHealth, ShardState};
 
