--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -42,6 +42,7 @@
 }
 
 /// An attempt that was sent and has not ended.
+
 struct InFlight {
     node: NodeId,
     sent_at: Micros,
@@ -108,7 +109,7 @@
         self.next_request += 1;
         request.id = id;
         self.requests
-            .insert(id, OpenRequest { payload, deadline: self.now + request.patience, attempts_sent: 0 });
+            .insert(id, OpenRequest { payload, deadline: self.now + request.timeout, attempts_sent: 0 });
         self.counts.accepted += 1;
         self.events.push_back(Event::Request(request));
         id
@@ -160,6 +161,7 @@
 
     /// Records the end of an attempt that was taken out of `in_flight` and notifies the scheduler. Returns
     /// the payload if the request is served.
+
     fn record_end(
         &mut self,
         attempt: AttemptId,
@@ -210,13 +212,13 @@
                 started: entry.started,
             });
         }
-        self.events.push_back(Event::Nodes { whole, remembered, entries });
+        self.events.push_back(Event::Nodes { complete: whole, from_cache: remembered, entries });
     }
 
     /// Notifies the scheduler that fetching the node list failed.
     pub fn node_list_failed(&mut self, now: Micros) {
         self.advance(now);
-        self.events.push_back(Event::NodesFailed);
+        self.events.push_back(Event::NodeListFailed);
     }
 
     /// Returns the number of a node. An unknown name is assigned the next number.
@@ -300,13 +302,13 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::Send { request, node, patience } => self.send(request, node, patience),
-            Action::Refuse { request, come_back } => {
+            Action::Send { request, node, timeout: patience } => self.send(request, node, patience),
+            Action::Refuse { request, retry_after: come_back } => {
                 self.finish(request, Verdict::Refused { come_back });
             }
             Action::Fail { request } => self.finish(request, Verdict::Failed),
             Action::Cancel { request, attempt } => {
-                let id = AttemptId { request, n: attempt };
+                let id = AttemptId { request, index: attempt };
                 if let Some(in_flight) = self.in_flight.remove(&id) {
                     self.due.remove(&(in_flight.due, Due::AttemptDeadline(id)));
                     let outcome =
@@ -328,16 +330,16 @@
             // The request was withdrawn in the meantime and the attempt is not sent. The scheduler must be
             // notified, or it would count the attempt as in flight forever.
             if let Some(attempts) = self.withdrawn_attempts.get_mut(&request) {
-                let attempt = AttemptId { request, n: *attempts };
+                let attempt = AttemptId { request, index: *attempts };
                 *attempts += 1;
                 self.events.push_back(answer_event(attempt, node, Outcome::NotSent, true, 0));
             }
             return;
         };
-        let attempt = AttemptId { request, n: open.attempts_sent };
+        let attempt = AttemptId { request, index: open.attempts_sent };
         open.attempts_sent += 1;
         self.counts.sent += 1;
-        self.counts.retries += u64::from(attempt.n > 0);
+        self.counts.retries += u64::from(attempt.index > 0);
         let due = if patience > 0 { open.deadline.min(self.now + patience) } else { open.deadline };
         self.in_flight.insert(attempt, InFlight { node, sent_at: self.now, due, awaits_connection: false });
         self.due.insert((due, Due::AttemptDeadline(attempt)));
@@ -383,6 +385,7 @@
     }
 
     /// Advances the clock, which never goes back.
+
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
@@ -391,12 +394,12 @@
 fn answer_event(attempt: AttemptId, node: NodeId, outcome: Outcome, settled: bool, latency: Micros) -> Event {
     Event::Answer(Answer {
         request: attempt.request,
-        attempt: attempt.n,
+        attempt: attempt.index,
         node,
         outcome,
         settled,
         latency,
-        metered: None,
-        elsewhere: 0.0,
+        metered_use: None,
+        units_elsewhere: 0.0,
     })
 }
--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/response.rs
@@ -3,14 +3,14 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::{Body, Framing, framing};
-use crate::fault::Fault;
+use crate::error::DecodeError;
 use crate::fields::Fields;
 use crate::request::keeps_alive;
-use crate::{FIELDS, Limits};
+use crate::{Limits, MAX_FIELDS};
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// Header fields.
@@ -18,25 +18,25 @@
     /// Body.
     pub body: Bytes,
     /// The server keeps the connection open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Decodes the responses on a connection. A response without a stated length ends with the orderly close of
-/// the connection ([`AnswerDecoder::end`]). After a reset it is unknown whether such a response was complete,
-/// so it counts as incomplete.
+/// the connection ([`ResponseDecoder::end`]). After a reset it is unknown whether such a response was
+/// complete, so it counts as incomplete.
 #[derive(Clone, Debug)]
-pub struct AnswerDecoder {
+pub struct ResponseDecoder {
     limits: Limits,
     input: BytesMut,
-    current: Option<(Answer, Body)>,
+    current: Option<(Response, Body)>,
     /// Number of 1xx responses since the last final response.
     informational: u32,
 }
 
-impl AnswerDecoder {
+impl ResponseDecoder {
     /// Creates a decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
-        AnswerDecoder { limits, input: BytesMut::new(), current: None, informational: 0 }
+        ResponseDecoder { limits, input: BytesMut::new(), current: None, informational: 0 }
     }
 
     /// Appends received bytes to the input.
@@ -45,12 +45,12 @@
     }
 
     /// Number of received bytes that are not part of a returned response.
-    pub fn held(&self) -> usize {
-        self.input.len() + self.current.as_ref().map_or(0, |(_, body)| body.held())
+    pub fn buffered_bytes(&self) -> usize {
+        self.input.len() + self.current.as_ref().map_or(0, |(_, body)| body.buffered_bytes())
     }
 
     /// Whether nothing has been received after the last returned response.
-    pub fn is_between(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.current.is_none() && self.input.is_empty()
     }
 
@@ -58,13 +58,13 @@
     ///
     /// # Errors
     /// The input is not a valid response; the connection must be closed.
-    pub fn poll(&mut self) -> Result<Option<Answer>, Fault> {
+    pub fn poll(&mut self) -> Result<Option<Response>, DecodeError> {
         while self.current.is_none() {
             let Some(head) = head(&mut self.input, &self.limits)? else { return Ok(None) };
             if (100..200).contains(&head.status) {
                 self.informational += 1;
                 if head.status == 101 || self.informational > self.limits.informational {
-                    return Err(Fault::Informational);
+                    return Err(DecodeError::TooManyInformational);
                 }
                 continue;
             }
@@ -74,7 +74,8 @@
                 Framing::Unstated => Framing::UntilEnd,
                 stated => stated,
             };
-            let head = Answer { keep: head.keep && !matches!(framing, Framing::UntilEnd), ..head };
+            let head =
+                Response { keep_alive: head.keep_alive && !matches!(framing, Framing::UntilEnd), ..head };
             self.current = Some((head, Body::new(framing)));
         }
         let Some((_, body)) = &mut self.current else { return Ok(None) };
@@ -89,32 +90,34 @@
     /// Returns the response that ends with the orderly close of the connection, if there is one. All input
     /// must have been [polled](AnswerDecoder::poll) before. A response that is shorter than its stated length
     /// is discarded.
-    pub fn end(&mut self) -> Option<Answer> {
+    pub fn end(&mut self) -> Option<Response> {
         let (response, body) = self.current.take()?;
-        Some(Answer { body: body.end()?, ..response })
+        Some(Response { body: body.end()?, ..response })
     }
 }
 
 /// Takes the head of a response off the input once it is complete.
-pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Answer>, Fault> {
+pub(crate) fn head(input: &mut BytesMut, limits: &Limits) -> Result<Option<Response>, DecodeError> {
     if input.is_empty() {
         return Ok(None);
     }
-    let mut headers = [httparse::EMPTY_HEADER; FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(input) {
         Ok(httparse::Status::Complete(n)) if n <= limits.head => n,
         Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(Fault::HeadTooLong);
+            return Err(DecodeError::HeadTooLong);
         }
-        Ok(httparse::Status::Partial) if input.len() > limits.head => return Err(Fault::HeadTooLong),
+        Ok(httparse::Status::Partial) if input.len() > limits.head => return Err(DecodeError::HeadTooLong),
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::Version) => return Err(Fault::Version),
-        Err(_) => return Err(Fault::Head),
+        Err(httparse::Error::Version) => return Err(DecodeError::UnsupportedVersion),
+        Err(_) => return Err(DecodeError::MalformedHead),
+    };
+    let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
+        return Err(DecodeError::MalformedHead);
     };
-    let (Some(status), Some(version)) = (parsed.code, parsed.version) else { return Err(Fault::Head) };
     let fields = Fields::read(parsed.headers);
     input.advance(length);
-    let keep = keeps_alive(version, &fields);
-    Ok(Some(Answer { status, fields, body: Bytes::new(), keep }))
+    let keep_alive = keeps_alive(version, &fields);
+    Ok(Some(Response { status, fields, body: Bytes::new(), keep_alive }))
 }
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -80,7 +80,7 @@
         let mut fields =
             vec![("Host", host), ("X-Request-ID", self.id.as_str()), ("X-Timeout-Ms", wait.as_str())];
         fields.extend(self.key.as_deref().map(|key| ("Idempotency-Key", key)));
-        http1::request(&self.method, &self.target, &fields, &self.body)
+        http1::encode_request(&self.method, &self.target, &fields, &self.body)
     }
 }
 
@@ -104,7 +104,7 @@
     };
     let (volume, object) = (parse_hex(volume)?, parse_hex(object)?);
     let header_class =
-        field_text(fields.only("x-priority-class"), Rejection::Class)?.ok_or(Rejection::Class)?;
+        field_text(fields.unique("x-priority-class"), Rejection::Class)?.ok_or(Rejection::Class)?;
     let index = service.classes.iter().position(|c| c.name == class).ok_or(Rejection::Class)?;
     if header_class != class {
         return Err(Rejection::Class);
@@ -118,18 +118,18 @@
     if !is_valid {
         return Err(Rejection::Method);
     }
-    let plan = field_text(fields.only("x-plan"), Rejection::Plan)?.ok_or(Rejection::Plan)?;
+    let plan = field_text(fields.unique("x-plan"), Rejection::Plan)?.ok_or(Rejection::Plan)?;
     let plan = service.plans.iter().position(|p| p == plan).ok_or(Rejection::Plan)?;
     let id = visible_text(
-        field_text(fields.only("x-request-id"), Rejection::Id)?.ok_or(Rejection::Id)?,
+        field_text(fields.unique("x-request-id"), Rejection::Id)?.ok_or(Rejection::Id)?,
         Rejection::Id,
     )?;
-    let key = field_text(fields.only("idempotency-key"), Rejection::Key)?;
+    let key = field_text(fields.unique("idempotency-key"), Rejection::Key)?;
     let key = key.map(|k| visible_text(k, Rejection::Key)).transpose()?;
     if rules.keyed && key.is_none() {
         return Err(Rejection::Key);
     }
-    let timeout = field_text(fields.only("x-timeout-ms"), Rejection::Timeout)?.ok_or(Rejection::Timeout)?;
+    let timeout = field_text(fields.unique("x-timeout-ms"), Rejection::Timeout)?.ok_or(Rejection::Timeout)?;
     let timeout = parse_number(timeout).filter(|&ms| ms > 0).ok_or(Rejection::Timeout)?;
     // No client waits longer than the longest configured deadline, so a longer stated timeout holds nothing
     // beyond that.
@@ -138,9 +138,9 @@
     } else {
         timeout * 1000
     };
-    let io_header = field_text(fields.only("x-io"), Rejection::IoHeader)?.ok_or(Rejection::IoHeader)?;
+    let io_header = field_text(fields.unique("x-io"), Rejection::IoHeader)?.ok_or(Rejection::IoHeader)?;
     let (units, shard, hosts) = parse_io_header(io_header, service, settings).ok_or(Rejection::IoHeader)?;
-    let retry = field_text(fields.only("x-retried"), Rejection::IoHeader)? == Some("1");
+    let retry = field_text(fields.unique("x-retried"), Rejection::IoHeader)? == Some("1");
     let request_for_decisions = DecisionRequest {
         id: RequestId(0),
         class: index,
@@ -150,8 +150,8 @@
         shard,
         units,
         hosts,
-        patience: (timeout_us - waited).max(0),
-        retry,
+        timeout: (timeout_us - waited).max(0),
+        is_retry: retry,
         // A connection doesn't identify a client: the platform's clients come back on other connections.
         client: None,
     };
@@ -162,7 +162,7 @@
         method: request.method,
         target: request.target,
         body: request.body,
-        keep: request.keep,
+        keep: request.keep_alive,
     })
 }
 
@@ -174,7 +174,7 @@
 }
 
 fn field_text(
-    value: Result<Option<&[u8]>, http1::Repeated>,
+    value: Result<Option<&[u8]>, http1::RepeatedField>,
     rejection: Rejection,
 ) -> Result<Option<&str>, Rejection> {
     let value = value.map_err(|_| rejection)?;
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -8,9 +8,9 @@
 
 use decisions::{Micros, NodeId, Outcome};
 use dispatch::AttemptId;
-use http1::{Answer, AnswerDecoder, Limits};
+use http1::{Limits, Response, ResponseDecoder};
 
-use crate::socket::End;
+use crate::socket::ConnectionEnd;
 use cooldown::COOLDOWN;
 
 /// Number of a connection.
@@ -32,7 +32,7 @@
     phase: Phase,
     /// When it entered its phase.
     since: Micros,
-    decoder: AnswerDecoder,
+    decoder: ResponseDecoder,
 }
 
 /// The nodes' addresses and the connections to each node.
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub(crate) struct ConnectionUpdate {
     /// The attempt on the connection ended with this outcome.
-    pub(crate) finished: Option<(AttemptId, Outcome, Option<Answer>)>,
+    pub(crate) finished: Option<(AttemptId, Outcome, Option<Response>)>,
     /// The connection is to be closed.
     pub(crate) close: bool,
     /// This attempt waited for the connection and was never sent: it needs another one.
@@ -202,7 +202,7 @@
         }
         let id = self.next_id;
         self.next_id += 1;
-        let (phase, decoder) = (Phase::Connecting(Some(attempt)), AnswerDecoder::new(self.limits));
+        let (phase, decoder) = (Phase::Connecting(Some(attempt)), ResponseDecoder::new(self.limits));
         self.connections.insert(id, NodeConnection { node, address, phase, since: now, decoder });
         self.by_attempt.insert(attempt, id);
         self.timers.insert((now + self.connect_timeout, id));
@@ -226,12 +226,12 @@
         let Phase::Busy(attempt) = connection.phase else {
             // Input without a request is a second response or noise, and the next request would be answered
             // with it. The connection is closed, whatever the node sent; the cost is a new connection.
-            return ConnectionUpdate { close: true, ..self.ended(id, End::Cut) };
+            return ConnectionUpdate { close: true, ..self.ended(id, ConnectionEnd::Cut) };
         };
-        let buffered_before = connection.decoder.held();
+        let buffered_before = connection.decoder.buffered_bytes();
         connection.decoder.receive(bytes);
         let polled = connection.decoder.poll();
-        self.buffered = self.buffered + connection.decoder.held() - buffered_before;
+        self.buffered = self.buffered + connection.decoder.buffered_bytes() - buffered_before;
         match polled {
             Ok(None) if self.buffered <= self.max_buffered => ConnectionUpdate::default(),
             Ok(None) => {
@@ -250,8 +250,8 @@
                 }
             }
             Ok(Some(answer)) => {
-                let kept = answer.keep
-                    && connection.decoder.is_between()
+                let kept = answer.keep_alive
+                    && connection.decoder.is_idle()
                     && self.addresses.get(&connection.node) == Some(&connection.address);
                 self.by_attempt.remove(&attempt);
                 if kept {
@@ -279,7 +279,7 @@
     }
 
     /// Handles a connection that ended or could not be established.
-    pub(crate) fn ended(&mut self, id: ConnectionId, end: End) -> ConnectionUpdate {
+    pub(crate) fn ended(&mut self, id: ConnectionId, end: ConnectionEnd) -> ConnectionUpdate {
         let Some(mut connection) = self.remove(id) else { return ConnectionUpdate::default() };
         let node = connection.node;
         let ended = match connection.phase {
@@ -292,9 +292,9 @@
             Phase::Connecting(Some(attempt)) => Some((attempt, Outcome::Unreachable, None)),
             Phase::Busy(attempt) => Some(match end {
                 // A node that has begun to respond has seen enough of the request to have executed something.
-                End::Cut if connection.decoder.is_between() => (attempt, Outcome::Unreachable, None),
-                End::Cut | End::Broken => (attempt, Outcome::Reset, None),
-                End::Orderly => match connection.decoder.end() {
+                ConnectionEnd::Cut if connection.decoder.is_idle() => (attempt, Outcome::Unreachable, None),
+                ConnectionEnd::Cut | ConnectionEnd::Broken => (attempt, Outcome::Reset, None),
+                ConnectionEnd::Orderly => match connection.decoder.end() {
                     Some(answer) => (attempt, crate::outcome::attempt_outcome(&answer), Some(answer)),
                     None => (attempt, Outcome::Reset, None),
                 },
@@ -343,12 +343,12 @@
         if self.connections.get(&id).is_some_and(|c| matches!(c.phase, Phase::CoolingDown(_))) {
             return Some((id, self.cooldown_over(now, id)));
         }
-        Some((id, ConnectionUpdate { close: true, ..self.ended(id, End::Cut) }))
+        Some((id, ConnectionUpdate { close: true, ..self.ended(id, ConnectionEnd::Cut) }))
     }
 
     fn remove(&mut self, id: ConnectionId) -> Option<NodeConnection> {
         let connection = self.connections.remove(&id)?;
-        self.buffered -= connection.decoder.held();
+        self.buffered -= connection.decoder.buffered_bytes();
         match &connection.phase {
             Phase::Connecting(waiting) => {
                 self.timers.remove(&(connection.since + self.connect_timeout, id));
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,12 +1,12 @@
 //! What a storage node's response says about the attempt.
 
 use decisions::Outcome;
-use http1::Answer;
+use http1::Response;
 
 /// Returns how an attempt ended, from its response. Only the node's own statement proves that it never ran.
-pub fn attempt_outcome(answer: &Answer) -> Outcome {
+pub fn attempt_outcome(answer: &Response) -> Outcome {
     let says_not_processed =
-        answer.fields.only("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
+        answer.fields.unique("x-not-processed").ok().flatten().is_some_and(|v| v.trim_ascii() == b"1");
     match answer.status {
         200 => Outcome::Served,
         503 | 504 if says_not_processed => Outcome::Full,
@@ -15,8 +15,8 @@
 }
 
 /// Returns the number of requests that the node holds, if its load report can be read.
-pub fn reported_load(answer: &Answer) -> Option<u32> {
-    let report = answer.fields.only("x-server-load").ok()??;
+pub fn reported_load(answer: &Response) -> Option<u32> {
+    let report = answer.fields.unique("x-server-load").ok()??;
     let report = std::str::from_utf8(report).ok()?.trim();
     let fields = report.strip_prefix("TEXT ")?;
     // The protocol's page names the field `inflight`; nodes that follow the settings were seen to send
--- a/crates/world/src/world/conn.rs
+++ b/crates/world/src/world/conn.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use http1::{AnswerDecoder, RequestDecoder};
-use platform::{End, SocketId};
+use http1::{RequestDecoder, ResponseDecoder};
+use platform::{ConnectionEnd, SocketId};
 
 use super::{AT_ONCE, Event, World};
 use crate::node::ConnId;
@@ -24,7 +24,7 @@
     },
     Agent(Watch),
     Client {
-        decoder: AnswerDecoder,
+        decoder: ResponseDecoder,
         /// Asked on it and not answered, in order.
         requests: VecDeque<u64>,
         /// What came before the gateway accepted it.
@@ -162,7 +162,11 @@
         let Some(socket) = socket else { return };
         self.gateways[g].sockets.remove(&socket);
         if let Some(machine) = &mut self.gateways[g].machine {
-            machine.connection_ended(now, socket, if was_up { End::Broken } else { End::Cut });
+            machine.connection_ended(
+                now,
+                socket,
+                if was_up { ConnectionEnd::Broken } else { ConnectionEnd::Cut },
+            );
             self.drive(g);
         }
     }
