--- a/crates/gateway/src/recovery_driver.rs
+++ b/crates/gateway/src/recovery_driver.rs
@@ -5,27 +5,27 @@
 //! with the recovery's advice; everything else goes to the decision module. Off unless the site has a
 //! `[recovery]` table.
 
+mod closed_places;
+
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
 use decisions::NodeId;
-use nvme::IoCommand;
 use peer::{Kind, PeerName, Told, wire};
 use recovery::{
-    Act, Admission, AdmissionOptions, Closed, Digest, Entry, Fact, InHand, Phase, Place, Plant, Recovery,
-    RecoveryOptions, Shown, Word,
+    Act, Admission, AdmissionOptions, Digest, Fact, InHand, Phase, Plant, Recovery, RecoveryOptions, Shown,
+    Word,
 };
 use storage_core::{Catalogue, Micros};
 
 use crate::gateway::GatewayError;
 use crate::message::Inbox;
-use crate::opcode::opcode_of;
 use crate::options::RecoveryDriverOptions;
 use crate::peer_network::PeerNetwork;
 use crate::write_journal::WriteJournal;
 
-/// File of the recovery state that this gateway holds, orders included, in its state folder.
-const STATE_FILE: &str = "word";
+/// File of the orders in force and the rest of the recovery state, in the gateway's state folder.
+const ORDERS_FILE: &str = "word";
 /// File of the write journal, in the gateway's state folder.
 const JOURNAL_FILE: &str = "hand";
 /// Pause before a place that could not be read back is read again.
@@ -78,7 +78,7 @@
         inbox: Inbox,
     ) -> Result<RecoveryDriver, GatewayError> {
         let settings = &catalogue.settings;
-        let orders_file = folder.join(STATE_FILE);
+        let orders_file = folder.join(ORDERS_FILE);
         let previous: Option<Word> = match filelog::read(&orders_file)? {
             Some(bytes) => Some(
                 wire::decode(&bytes).ok_or_else(|| GatewayError::InvalidOrdersFile(orders_file.clone()))?,
@@ -366,40 +366,4 @@
             }
         }
     }
-
-    /// The retry delay for a command whose place is not open yet; `None` if it is open.
-    pub(crate) fn retry_delay_if_closed(
-        &mut self,
-        now: Micros,
-        catalogue: &Catalogue,
-        command: &IoCommand,
-    ) -> Option<Micros> {
-        if self.recovery.phase() == Phase::Serving {
-            return None;
-        }
-        let volume = catalogue.volume(command.nsid)?;
-        let is_write = matches!(command.opcode, nvme::io::WRITE);
-        let opcode = opcode_of(command);
-        let size = u64::from(volume.block_size);
-        let class = catalogue.class(opcode, u64::from(command.blocks) * size);
-        let settings = &catalogue.settings;
-        let worth = settings.classes.get(class).map_or(1.0, |c| c.worth)
-            * settings.plans.get(volume.plan).map_or(1.0, |p| p.price);
-        for part in volume.parts(command.slba, command.blocks) {
-            let (nsid, shard) = (command.nsid, part.shard.0);
-            let place = Place { nsid, slba: part.slba, blocks: part.blocks, shard };
-            if let Some(closed) = self.recovery.closed(&place, is_write) {
-                let (Closed::Joining { until } | Closed::Unsettled { until, .. } | Closed::Blind { until }) =
-                    closed;
-                return Some((until - now).clamp(1, self.max_retry_delay));
-            }
-            if self.nodes_cold {
-                let units = catalogue.units(u64::from(part.blocks) * size);
-                if let Entry::Later { come_back } = self.admission.entry(now, shard, worth, units) {
-                    return Some(come_back);
-                }
-            }
-        }
-        None
-    }
 }
