--- a/crates/crowbay/tests/recovery.rs
+++ b/crates/crowbay/tests/recovery.rs
@@ -316,7 +316,7 @@
     assert_eq!(code, Some(0), "{said}");
     stage.until("g1", "it serves", |s| phase(s) == Some(Phase::Serving));
     let (code, said) = run(&["release", &number, "--confirm"]);
-    assert!(code == Some(1) && said.contains("no write from before"), "{said}");
+    assert!(code == Some(1) && said.contains("no unsettled write has the number"), "{said}");
     let (_, said) = run(&["status"]);
     assert!(said.contains("0 ran, 0 not there, 1 unknown, 0 open") && said.contains("all is open"), "{said}");
 }
