--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -1,4 +1,4 @@
-//! What is open while nodes are cold: dearest first, and when the rest should come again.
+//! Admission control while nodes are cold: highest worth first, with a retry delay for the rest.
 
 use std::collections::BTreeMap;
 
@@ -7,64 +7,65 @@
 
 use crate::Micros;
 
-/// Time over which what is asked for is measured, in microseconds.
-const SMOOTHING: f64 = 1e6;
+/// Time constant of the exponential average of demand, in microseconds.
+const DEMAND_TIME_CONSTANT: f64 = 1e6;
 
-/// What all nodes of a site promise to bear while they are cold.
+/// Capacity of a site's nodes while they are cold, and limits of the retry delay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionOptions {
-    /// Units that a node which has just started bears within the window, from all gateways together.
+    /// Units that a newly started node can process per `cold_window`, from all gateways together.
     pub cold_units: f64,
-    /// That window, in microseconds.
+    /// Window of `cold_units`, in microseconds.
     pub cold_window: Micros,
-    /// Part of its capacity that a node starts with at least.
+    /// Smallest fraction of its capacity that a node has at its start.
     pub cold_from: f64,
-    /// It is warm after this long.
+    /// Time after its start at which a node is warm, in microseconds.
     pub warm_after: Micros,
-    /// Gateways that share the nodes.
+    /// Number of gateways that share the nodes.
     pub gateways: u32,
-    /// The longest advice.
+    /// Longest retry delay, in microseconds.
     pub most_advice: Micros,
 }
 
-/// Whether a request may come in.
+/// Result of the admission check of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// It may: the module decides from here on.
+    /// The request is admitted; the decision module takes over.
     Open,
-    /// Not now; it is refused at once, with advice that is true.
+    /// The request is refused at once, with the delay after which the node is expected to have remaining for it.
     Later {
-        /// When to come again, in microseconds from now.
+        /// Delay before the retry, in microseconds from now.
         come_back: Micros,
     },
 }
 
-/// What was asked for, smoothed, in units a second.
+/// Exponentially averaged demand, in units per second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Asked {
-    sum: f64,
-    at: Micros,
+struct AverageDemand {
+    units_per_second: f64,
+    updated_at: Micros,
 }
 
-impl Asked {
-    fn read(&self, now: Micros) -> f64 {
-        self.sum * (-((now - self.at) as f64) / SMOOTHING).exp()
+impl AverageDemand {
+    fn rate_at(&self, now: Micros) -> f64 {
+        self.units_per_second * (-((now - self.updated_at) as f64) / DEMAND_TIME_CONSTANT).exp()
     }
 
     fn add(&mut self, now: Micros, units: f64) {
-        (self.sum, self.at) = (self.read(now) + units * 1e6 / SMOOTHING, now);
+        (self.units_per_second, self.updated_at) =
+            (self.rate_at(now) + units * 1e6 / DEMAND_TIME_CONSTANT, now);
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Shard {
-    /// When its node was first met after the cut; none: not yet.
-    met: Option<Micros>,
-    /// By worth, in steps of a quarter of a doubling.
-    asked: BTreeMap<i32, Asked>,
+    /// When its node was first reachable after the power loss; `None` if it has not been yet.
+    reachable_since: Option<Micros>,
+    /// Demand by worth bucket; a bucket spans a quarter of a doubling.
+    by_worth: BTreeMap<i32, AverageDemand>,
 }
 
-/// Admission at one gateway, shard by shard.
+/// Admission control of one gateway, per shard.
 #[derive(Clone, Debug)]
 pub struct Admission {
     options: AdmissionOptions,
@@ -73,84 +74,91 @@
 }
 
 impl Admission {
-    /// Nothing is open: no node has been met.
+    /// Creates an admission control that refuses everything, as no node has been reachable yet.
     pub fn new(options: AdmissionOptions, seed: u64) -> Self {
         Admission { options, shards: BTreeMap::new(), random: SmallRng::seed_from_u64(seed) }
     }
 
-    /// A shard's node is there. It is taken for one that has just started: what a list says of earlier starts was on a clock
-    /// that is not believed.
+    /// Records that a shard's node is reachable. It counts as newly started, as the start times of a node list come from a
+    /// clock that is not trusted after a power loss.
     pub fn met(&mut self, now: Micros, shard: u32) {
-        self.shards.entry(shard).or_default().met.get_or_insert(now);
+        self.shards.entry(shard).or_default().reachable_since.get_or_insert(now);
     }
 
-    /// A shard's node has gone, or another has taken its place: the next one met is cold.
+    /// Records that a shard's node is gone or replaced by another: the next reachable one counts as cold.
     pub fn lost(&mut self, shard: u32) {
         if let Some(shard) = self.shards.get_mut(&shard) {
-            shard.met = None;
+            shard.reachable_since = None;
         }
     }
 
-    /// Whether a shard's node has been met.
+    /// Whether a shard's node is reachable.
     pub fn is_met(&self, shard: u32) -> bool {
-        self.shards.get(&shard).is_some_and(|s| s.met.is_some())
+        self.shards.get(&shard).is_some_and(|s| s.reachable_since.is_some())
     }
 
-    /// When the last of the nodes met is warm; none: none has been met.
+    /// When the last of the reachable nodes is warm; `None` if no node is reachable.
     pub fn warm_at(&self) -> Option<Micros> {
-        self.shards.values().filter_map(|s| s.met).max().map(|t| t + self.options.warm_after)
+        self.shards.values().filter_map(|s| s.reachable_since).max().map(|t| t + self.options.warm_after)
     }
 
-    /// Units a second that this gateway may ask of a node at an age, so that all gateways' parts are what it bears.
-    fn bears(&self, age: Micros) -> f64 {
-        let o = &self.options;
-        if age >= o.warm_after {
+    /// Units per second that this gateway may send to a node of age `age`: an equal part of the node's capacity for each
+    /// gateway.
+    fn capacity_per_gateway(&self, age: Micros) -> f64 {
+        let options = &self.options;
+        if age >= options.warm_after {
             return f64::INFINITY;
         }
-        let full = 1.0 / o.cold_from.clamp(0.01, 1.0) - 1.0;
-        let grown = 1.0 + full * age.max(0) as f64 / o.warm_after.max(1) as f64;
-        o.cold_units * grown * 1e6 / o.cold_window.max(1) as f64 / f64::from(o.gateways.max(1))
+        let growth = 1.0 / options.cold_from.clamp(0.01, 1.0) - 1.0;
+        let growth_factor = 1.0 + growth * age.max(0) as f64 / options.warm_after.max(1) as f64;
+        options.cold_units * growth_factor * 1e6
+            / options.cold_window.max(1) as f64
+            / f64::from(options.gateways.max(1))
     }
 
-    /// The age at which a node bears so much of this gateway.
-    fn age_for(&self, units: f64) -> Micros {
-        let o = &self.options;
-        let (first, last) = (self.bears(0), self.bears(o.warm_after - 1));
+    /// Age at which a node has the capacity for `units` per second from this gateway.
+    fn age_with_capacity(&self, units: f64) -> Micros {
+        let options = &self.options;
+        let (first, last) = (self.capacity_per_gateway(0), self.capacity_per_gateway(options.warm_after - 1));
         if units >= last || last <= first {
-            return o.warm_after;
+            return options.warm_after;
         }
-        ((units - first).max(0.0) / (last - first) * o.warm_after as f64) as Micros
+        ((units - first).max(0.0) / (last - first) * options.warm_after as f64) as Micros
     }
 
-    /// Whether a request of so much worth for its units may come in.
+    /// Decides whether a request of `worth` per unit and `units` of work is admitted.
     ///
-    /// Danger: after a loss of power everything that was held back comes at once, at nodes that bear a part of it. Let in, it
-    /// waits for turns at cold nodes until its time is up, cheap and dear alike, and its clients come again meanwhile. So what is
-    /// dearer goes first as far as the nodes bear it, and the rest is told when they will bear it, spread over as long again.
-    /// Harm: demand is measured over a second; for the first of it the dear are taken to ask for nothing.
+    /// After a power loss all clients send their delayed requests at once, to nodes that can process only a part of them. If
+    /// all were admitted, they would wait for slow-start slots of cold nodes until their deadlines, whatever their worth, and
+    /// their clients would retry meanwhile. Requests of higher worth are therefore admitted first, as far as the capacity
+    /// goes; the others get the delay after which the node is expected to have the capacity, plus a random part of up to that
+    /// delay again. The cost: demand is averaged over a second, so during the first second the demand of higher worth is
+    /// underestimated.
     pub fn entry(&mut self, now: Micros, shard: u32, worth: f64, units: f64) -> Entry {
-        let most = self.options.most_advice;
-        let step = (4.0 * worth.max(1e-6).log2()).round() as i32;
-        let slot = self.shards.entry(shard).or_default();
-        slot.asked.entry(step).or_default().add(now, units);
-        let Some(met) = slot.met else {
-            // Nobody knows when the node is back: the longest advice, spread.
-            let come_back = self.random.random_range(most / 2..=most.max(1));
+        let longest_delay = self.options.most_advice;
+        let bucket = (4.0 * worth.max(1e-6).log2()).round() as i32;
+        let demand = self.shards.entry(shard).or_default();
+        demand.by_worth.entry(bucket).or_default().add(now, units);
+        let Some(reachable_since) = demand.reachable_since else {
+            // It is unknown when the node returns: a random delay between half of the longest one and the longest.
+            let come_back = self.random.random_range(longest_delay / 2..=longest_delay.max(1));
             return Entry::Later { come_back };
         };
-        let age = now - met;
+        let age = now - reachable_since;
         if age >= self.options.warm_after {
             return Entry::Open;
         }
-        // All that is dearer, and of its own worth what fits.
-        let dearer: f64 = slot.asked.range(step + 1..).map(|(_, a)| a.read(now)).sum();
-        let own = slot.asked.get(&step).map_or(0.0, |a| a.read(now));
-        let room = self.bears(age) - dearer;
-        if room >= own || room > 0.0 && self.random.random_bool((room / own).clamp(0.0, 1.0)) {
+        // Capacity goes to all demand of higher worth first; its own bucket gets what remains.
+        let higher_demand: f64 = demand.by_worth.range(bucket + 1..).map(|(_, a)| a.rate_at(now)).sum();
+        let own_demand = demand.by_worth.get(&bucket).map_or(0.0, |a| a.rate_at(now));
+        let remaining = self.capacity_per_gateway(age) - higher_demand;
+        if remaining >= own_demand
+            || remaining > 0.0 && self.random.random_bool((remaining / own_demand).clamp(0.0, 1.0))
+        {
             return Entry::Open;
         }
-        let wait = (self.age_for(dearer + own) - age).max(1);
+        let wait = (self.age_with_capacity(higher_demand + own_demand) - age).max(1);
         let spread = self.random.random_range(0..=wait);
-        Entry::Later { come_back: (wait + spread).min(most).max(1) }
+        Entry::Later { come_back: (wait + spread).min(longest_delay).max(1) }
     }
 }
--- a/crates/recovery/src/hand.rs
+++ b/crates/recovery/src/hand.rs
@@ -1,37 +1,37 @@
-//! The journal of work in hand: writes that went out to nodes and are not known to have ended.
+//! The journal of in-flight writes: writes that were sent to nodes and are not known to have ended.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Names the content of a write, so that a block that is read back proves whether it ran.
+/// Digest of a write's data. Comparing it with the blocks read back shows whether the write ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(#[serde(with = "serde_bytes")] [u8; 16]);
 
 impl Digest {
-    /// Of a write's data.
+    /// Computes the digest of a write's data: the first 16 bytes of its BLAKE3 hash.
     pub fn of(data: &[u8]) -> Digest {
-        let mut half = [0; 16];
-        half.copy_from_slice(&blake3::hash(data).as_bytes()[..16]);
-        Digest(half)
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&blake3::hash(data).as_bytes()[..16]);
+        Digest(truncated)
     }
 }
 
-/// Blocks of a volume on one shard.
+/// A range of blocks of a volume on one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// Volume.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
-    /// First block.
+    /// First logical block.
     pub slba: u64,
-    /// Blocks.
+    /// Number of blocks.
     pub blocks: u32,
-    /// Shard.
+    /// Shard that stores the blocks.
     pub shard: u32,
 }
 
 impl Place {
-    /// Whether two places share a block.
+    /// Whether two ranges overlap.
     pub fn meets(&self, other: &Place) -> bool {
         self.nsid == other.nsid
             && self.slba < other.slba + u64::from(other.blocks)
@@ -39,115 +39,116 @@
     }
 }
 
-/// A write that may have run.
+/// An in-flight write: it may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InHand {
-    /// Number of the write in this gateway's journal; it never comes twice.
+    /// Number of the write in this gateway's journal; numbers are unique while the journal holds them.
     pub number: u64,
-    /// The client's name for it; 0: none.
+    /// Idempotency token that the client gave the write; 0 if none.
     pub token: u64,
-    /// Where.
+    /// Blocks that it writes.
     pub place: Place,
-    /// What.
+    /// Digest of its data.
     pub digest: Digest,
-    /// The node it was last sent to, and the start that the list told of it then. Compared for sameness only.
+    /// Node that it was last sent to.
     pub node: String,
-    /// That start.
+    /// Start of that node according to the node list at that time; compared for equality only.
     pub started: i64,
 }
 
-/// An entry of the journal.
+/// A journal record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// About to be sent: durable before its first byte goes out.
+    /// The write is about to be sent. Must be durable before the first byte is sent.
     Sent(InHand),
-    /// Has ended, with an answer or without effect: nothing of it can run any more. Need not be durable at once.
+    /// The write has ended, with an answer or without effect, and can no longer run. Need not be durable at once.
     Over(u64),
 }
 
-/// A record as bytes.
+/// An encoded journal record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note(pub Vec<u8>);
 
-/// Why a journal cannot be believed.
+/// Why a journal cannot be replayed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandError {
-    /// A record that is none.
+    /// The record with this number (from 1) cannot be decoded.
     #[error(
-        "record {0} of the journal of work in hand cannot be read; all writes rest as if there were no journal"
+        "record {0} of the journal of in-flight writes cannot be decoded; all writes wait as if the journal were missing"
     )]
     Form(usize),
 }
 
-/// Work in hand, and the journal that tells of it.
+/// The in-flight writes, and the state of their journal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hand {
-    open: BTreeMap<u64, InHand>,
-    next: u64,
-    /// Records since the journal was written anew.
-    records: usize,
+    in_flight: BTreeMap<u64, InHand>,
+    next_number: u64,
+    /// Records in the journal since it was last compacted.
+    journal_records: usize,
 }
 
 impl Hand {
-    /// What a journal says, oldest record first.
+    /// Replays a journal, oldest record first.
     ///
     /// # Errors
-    /// A record cannot be read: what it told of is not known.
+    /// A record cannot be decoded, so the in-flight writes are not known.
     pub fn replay<'a>(records: impl IntoIterator<Item = &'a [u8]>) -> Result<Hand, HandError> {
         let mut hand = Hand::default();
-        for (n, bytes) in records.into_iter().enumerate() {
-            match rmp_serde::from_slice(bytes).map_err(|_| HandError::Form(n + 1))? {
-                Record::Sent(work) => {
-                    hand.next = hand.next.max(work.number + 1);
-                    hand.open.insert(work.number, work);
+        for (index, bytes) in records.into_iter().enumerate() {
+            match rmp_serde::from_slice(bytes).map_err(|_| HandError::Form(index + 1))? {
+                Record::Sent(write) => {
+                    hand.next_number = hand.next_number.max(write.number + 1);
+                    hand.in_flight.insert(write.number, write);
                 }
                 Record::Over(number) => {
-                    hand.open.remove(&number);
+                    hand.in_flight.remove(&number);
                 }
             }
-            hand.records += 1;
+            hand.journal_records += 1;
         }
         Ok(hand)
     }
 
-    /// Writes that may have run, by number.
+    /// In-flight writes in the order of their numbers.
     pub fn open(&self) -> impl Iterator<Item = &InHand> {
-        self.open.values()
+        self.in_flight.values()
     }
 
-    /// A write is about to be sent; what the journal has to hold before it is. A repeat keeps the number of its first.
-    pub fn sent(&mut self, work: InHand) -> Note {
-        self.next = self.next.max(work.number + 1);
-        self.open.insert(work.number, work.clone());
-        self.note(&Record::Sent(work))
+    /// Adds a write that is about to be sent, and returns the record that must be durable first. A retry keeps the number of
+    /// the first attempt.
+    pub fn sent(&mut self, write: InHand) -> Note {
+        self.next_number = self.next_number.max(write.number + 1);
+        self.in_flight.insert(write.number, write.clone());
+        self.encode(&Record::Sent(write))
     }
 
-    /// The number for a write that was never sent.
+    /// The number for a new write.
     pub fn number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    /// A write has ended; none if it was not in hand.
+    /// Removes a write that has ended, and returns the record to append; `None` if it was not in flight.
     pub fn over(&mut self, number: u64) -> Option<Note> {
-        self.open.remove(&number)?;
-        Some(self.note(&Record::Over(number)))
+        self.in_flight.remove(&number)?;
+        Some(self.encode(&Record::Over(number)))
     }
 
-    /// Whether most records tell of what is over, so that the journal is to be written anew with [`Hand::anew`].
+    /// Whether most records are about writes that have ended, so that the journal should be compacted with [`Hand::anew`].
     pub fn is_long(&self) -> bool {
-        self.records > 1024 && self.records > 8 * self.open.len()
+        self.journal_records > 1024 && self.journal_records > 8 * self.in_flight.len()
     }
 
-    /// All records that the journal needs, in place of those it has.
+    /// Returns the records of a compacted journal, which replace all that it holds.
     pub fn anew(&mut self) -> Vec<Note> {
-        self.records = 0;
-        let open: Vec<InHand> = self.open.values().cloned().collect();
-        open.into_iter().map(|work| self.note(&Record::Sent(work))).collect()
+        self.journal_records = 0;
+        let writes: Vec<InHand> = self.in_flight.values().cloned().collect();
+        writes.into_iter().map(|write| self.encode(&Record::Sent(write))).collect()
     }
 
-    fn note(&mut self, record: &Record) -> Note {
-        self.records += 1;
-        // A vector takes all that is written to it.
+    fn encode(&mut self, record: &Record) -> Note {
+        self.journal_records += 1;
+        // Writing to a vector does not fail.
         Note(rmp_serde::to_vec_named(record).unwrap_or_default())
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,14 +1,14 @@
-//! How a gateway comes back after its power went, without I/O: files, sockets and clocks are its user's.
+//! Recovery of a gateway after a power loss. The crate does no I/O: the caller provides files, sockets and clocks.
 //!
-//! - [`Hand`]: the journal of work in hand. Which writes may have run when the power went is known from it, and the keys
-//!   they touch stay closed to new writes until that is settled.
-//! - [`Recovery`]: the state machine from the first word to peers until all is open. Every wait in it is bounded: a gateway
-//!   whose peers never return serves within a stated time.
-//! - [`Admission`]: what is open yet while nodes are cold, dearest first, and true advice for the rest.
+//! - [`Hand`]: the journal of in-flight writes. It records which writes may have run when the power failed; the keys they
+//!   touch are closed to new writes until their outcome is settled.
+//! - [`Recovery`]: the state machine from the first query to peers until the gateway serves everything. Every wait for
+//!   peers is bounded: a gateway whose peers never return still serves within a configured time.
+//! - [`Admission`]: admits requests while nodes are cold, highest worth first, and computes a retry delay for the rest.
 //!
-//! What is read from before the cut is trusted as the table in docs/recovery.md says. Wall clocks are compared for sameness
-//! only, never for order. What it is not: a choice of node, time or attempt for a request; that stays the module's, which sees
-//! what is let through and learns starts, drains and lists as facts.
+//! The table in docs/recovery.md says which state from before the power loss is trusted. Wall clock values are compared for
+//! equality only, never for order. The crate does not choose a node, time or attempt for a request: the decision module
+//! does, which sees the admitted requests and is informed of node starts, drains and node lists.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -16,12 +16,14 @@
 mod admission;
 mod hand;
 mod machine;
+mod model;
 mod word;
 
 pub use admission::{Admission, AdmissionOptions, Entry};
 pub use hand::{Digest, Hand, HandError, InHand, Note, Place, Record};
-pub use machine::{Act, Closed, Fact, Outcome, Phase, Plant, Recovery, RecoveryOptions, Shown, Unsettled};
+pub use machine::Recovery;
+pub use model::{Act, Closed, Fact, Outcome, Phase, Plant, RecoveryOptions, Shown, Unsettled};
 pub use word::{NodeWord, Word};
 
-/// Microseconds on the caller's clock, which only ever goes forward.
+/// Microseconds on the caller's monotonic clock.
 pub type Micros = i64;
--- a/crates/recovery/src/word.rs
+++ b/crates/recovery/src/word.rs
@@ -1,46 +1,47 @@
-//! What gateways tell each other when they come back.
+//! The status message that gateways exchange during recovery.
 
 use peer::Life;
 use serde::{Deserialize, Serialize};
 
-/// What a gateway holds of one node.
+/// State of one node as a gateway knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeWord {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its shard.
+    /// Shard that the node serves.
     pub shard: u32,
-    /// Operators have it drained.
+    /// Whether an operator has drained the node.
     pub drained: bool,
 }
 
-/// A gateway's word about itself: an answer to a peer's question, and a note when it changes.
+/// A gateway's status, sent as the answer to a peer's query and again whenever it changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Word {
-    /// Its life.
+    /// Life (incarnation and nonce) of the sending gateway.
     pub life: Life,
-    /// Number of the operators' orders that it holds; a later number replaces all of an earlier one's.
+    /// Revision of the operators' orders that the gateway holds; a higher revision replaces a lower one as a whole.
     #[serde(default)]
     pub orders: u64,
-    /// Nodes, as of those orders.
+    /// Nodes at that revision.
     #[serde(default)]
     pub nodes: Vec<NodeWord>,
-    /// Volumes held by those orders.
+    /// Volumes on hold at that revision.
     #[serde(default)]
     pub held: Vec<String>,
-    /// Everything paused by those orders.
+    /// Whether all requests are paused at that revision.
     #[serde(default)]
     pub paused: bool,
-    /// It takes requests.
+    /// Whether the gateway accepts requests.
     #[serde(default)]
     pub serves: bool,
-    /// It has taken them for so long, in microseconds.
+    /// How long the gateway has accepted requests, in microseconds.
     #[serde(default)]
     pub served_for: i64,
 }
 
 impl Word {
-    /// Whether its orders replace those of another. A version is a version: nothing is concluded from what one does not say.
+    /// Whether its orders replace those of `other`. Only the revisions are compared: an entry missing from either message
+    /// proves nothing.
     pub fn replaces(&self, other: &Word) -> bool {
         self.orders > other.orders
     }
