--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,23 +1,25 @@
-//! The appliance's decisions, without I/O: what an operator's intents mean, and when processes are started, stopped
-//! and given up.
+//! The appliance's decision logic: operator intents, the orders derived from them, and process supervision. The crate does
+//! no I/O.
 //!
-//! [`Intents`] is the state that the operators have asked for; every change to it is an [`Entry`] that is stored before it
-//! counts, and replaying the entries gives the state again. [`Orders`] is what follows for the gateways: a node list and
-//! the volumes held. [`Supervision`] decides about processes. Nothing here chooses anything about a request: a drain
-//! becomes a line of the node list, which the decision module follows as any other.
+//! [`Intents`] is the state that operators have requested. Every change is an [`Entry`] that is stored before it takes
+//! effect; replaying the entries restores the state. [`Orders`] are derived from the intents for the gateways: a node list
+//! and the volumes on hold. [`Supervision`] decides when processes are started, stopped and killed. Nothing here decides
+//! about client requests: a drain becomes an entry of the node list, which the decision module handles like any other.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod intents;
+mod model;
 mod orders;
 mod supervision;
 
-pub use intents::{
-    Change, Entry, Facts, Intents, Mark, NodeFact, Note, Request, RequestId, Revision, Verdict, VolumeFact,
+pub use intents::Intents;
+pub use model::{
+    Change, Entry, Facts, Mark, NodeFact, Note, Request, RequestId, Revision, Verdict, VolumeFact,
 };
 pub use orders::{Listed, Orders, Source, State, orders};
 pub use supervision::{Act, Happening, Kind, Limits, Phase, ProcessView, Supervision};
 
-/// Time in microseconds since the Unix epoch, or a span.
+/// A time in microseconds since the Unix epoch, or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/steering/src/orders.rs
+++ b/crates/steering/src/orders.rs
@@ -1,24 +1,25 @@
-//! What follows from the intents for the gateways.
+//! Orders for the gateways, derived from the intents.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use crate::intents::{Intents, Revision};
+use crate::intents::Intents;
+use crate::model::Revision;
 
-/// Whether a node takes work.
+/// Whether a node accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// It accepts work.
     On,
-    /// It finishes what it has.
+    /// It completes its current work and accepts no more.
     Draining,
-    /// It is gone.
+    /// It has left the site.
     Gone,
 }
 
-/// Where a node's state comes from.
+/// Origin of a node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
@@ -28,38 +29,41 @@
     Operator,
 }
 
-/// A node, as listed or as ordered.
+/// A node and its state, in the node list or in the orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: State,
 }
 
-/// What the gateways are to follow. Sent whole, so that a gateway which missed any number of changes is right after one.
+/// Orders to the gateways. Each message holds all of them, so one message brings a gateway up to date, however many it
+/// missed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
-    /// The intents they follow from.
+    /// Revision of the intents that the orders derive from.
     pub revision: Revision,
-    /// Nodes, with where their state comes from.
+    /// Nodes, with the origin of their state.
     pub nodes: Vec<(Listed, Source)>,
-    /// Volumes of which nothing new is taken.
+    /// Volumes on hold: new requests to them are refused.
     pub held: BTreeSet<String>,
-    /// Nothing new is taken at all.
+    /// Whether all new requests are refused.
     pub paused: bool,
 }
 
-/// The orders that follow from the node list and the intents. An operator's drain stands over a list that says *on*; a list that
-/// says *gone* stands over everything, as nothing can be sent there.
+/// Derives the orders from the node list and the intents. An operator's drain overrides the state *on* of the node list; the
+/// state *gone* of the list overrides everything, as nothing can be sent to such a node.
 pub fn orders(list: &[Listed], intents: &Intents) -> Orders {
-    let node = |n: &Listed| match (n.state, intents.drained(&n.name)) {
-        (State::On, Some(_)) => (Listed { name: n.name.clone(), state: State::Draining }, Source::Operator),
-        _ => (n.clone(), Source::List),
+    let ordered = |listed: &Listed| match (listed.state, intents.drained(&listed.name)) {
+        (State::On, Some(_)) => {
+            (Listed { name: listed.name.clone(), state: State::Draining }, Source::Operator)
+        }
+        _ => (listed.clone(), Source::List),
     };
     Orders {
         revision: intents.revision(),
-        nodes: list.iter().map(node).collect(),
+        nodes: list.iter().map(ordered).collect(),
         held: intents.holds().map(|(name, _)| name.to_owned()).collect(),
         paused: intents.paused().is_some(),
     }
--- a/crates/steering/src/supervision.rs
+++ b/crates/steering/src/supervision.rs
@@ -1,4 +1,4 @@
-//! When a site's processes are started, stopped, killed and given up.
+//! Supervision of a site's processes: when they are started, stopped, killed and given up.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,17 @@
 
 use crate::Micros;
 
-/// What a process is. Nodes come up before gateways and go down after them.
+/// Kind of a process. Nodes start before gateways and stop after them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A stand-in node.
+    /// An emulated node.
     Node,
     /// A gateway.
     Gateway,
 }
 
-/// Where a process is in its life.
+/// Phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -26,30 +26,30 @@
     Starting,
     /// Ready.
     Up,
-    /// Told to leave.
+    /// Asked to shut down.
     Leaving,
-    /// It ended; it is started again after a pause.
+    /// Ended; restarted after a pause.
     Pausing,
-    /// It ended too often; it stays down until an operator starts it.
+    /// Ended too often; stays down until an operator revives it.
     GivenUp,
 }
 
 /// Limits of the supervision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Pause before the first restart; doubled with each that follows soon.
+    /// Pause before the first restart; each further restart doubles it until the process has been up for `window`.
     pub pause: Micros,
     /// The longest pause.
     pub longest_pause: Micros,
-    /// Restarts within the window; one more and the process is given up.
+    /// Restarts allowed within `window`; at one more the process is given up.
     pub restarts: usize,
-    /// That window.
+    /// Window of `restarts`, and the uptime after which the pause is reset.
     pub window: Micros,
-    /// A process has this long to be ready.
+    /// A process that is not ready this long after its start is killed.
     pub ready_within: Micros,
-    /// A process that was ready and does not answer for this long is killed.
+    /// A ready process that does not answer for this long is killed.
     pub silent_for: Micros,
-    /// A process that was told to leave has this long.
+    /// A process still running this long after it was asked to shut down is killed.
     pub leave_within: Micros,
 }
 
@@ -67,40 +67,40 @@
     }
 }
 
-/// What happened to a process.
+/// An event of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Happening {
-    /// One that runs already was found at the start: it is adopted.
+    /// It was found running when the supervision started, and is adopted.
     Found,
-    /// It answered.
+    /// It answered a query.
     Answered,
     /// It ended, or could not be started.
     Ended,
 }
 
-/// What is to be done. Processes are named by their place in the order given at the start.
+/// An action for the caller. Processes are identified by their index in the list given to [`Supervision::new`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Act {
-    /// Start it.
+    /// Start the process.
     Start(usize),
-    /// Tell it to leave.
+    /// Ask the process to shut down.
     Leave(usize),
-    /// Kill it.
+    /// Kill the process.
     Kill(usize),
 }
 
-/// A process, for people.
+/// State of a process, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessView {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// What it is.
+    /// Kind of the process.
     pub kind: Kind,
-    /// Where it is in its life.
+    /// Current phase.
     pub phase: Phase,
-    /// Since when.
+    /// Start of the phase.
     pub since: Micros,
-    /// Times that it was started again.
+    /// Number of restarts.
     pub restarts: u64,
 }
 
@@ -110,10 +110,10 @@
     kind: Kind,
     phase: Phase,
     since: Micros,
-    answered: Micros,
+    last_answer: Micros,
     pause: Micros,
     restarts: u64,
-    recent: VecDeque<Micros>,
+    recent_ends: VecDeque<Micros>,
 }
 
 /// The supervision of a site's processes.
@@ -125,32 +125,32 @@
 }
 
 impl Supervision {
-    /// A site whose processes are all down.
+    /// Creates the supervision of a site whose processes are all down.
     pub fn new(limits: Limits, processes: impl IntoIterator<Item = (String, Kind)>, now: Micros) -> Self {
-        let process = |(name, kind)| Process {
+        let new_process = |(name, kind)| Process {
             name,
             kind,
             phase: Phase::Down,
             since: now,
-            answered: now,
+            last_answer: now,
             pause: limits.pause,
             restarts: 0,
-            recent: VecDeque::new(),
+            recent_ends: VecDeque::new(),
         };
-        Supervision { limits, processes: processes.into_iter().map(process).collect(), stopping: false }
+        Supervision { limits, processes: processes.into_iter().map(new_process).collect(), stopping: false }
     }
 
-    /// Stops the site in order, from now on.
+    /// Begins the ordered shutdown of the site.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Starts again what was given up.
+    /// Makes the processes that were given up start again.
     pub fn revive(&mut self, now: Micros) {
-        for p in self.processes.iter_mut().filter(|p| p.phase == Phase::GivenUp) {
-            p.recent.clear();
-            p.pause = self.limits.pause;
-            p.enter(Phase::Down, now);
+        for process in self.processes.iter_mut().filter(|process| process.phase == Phase::GivenUp) {
+            process.recent_ends.clear();
+            process.pause = self.limits.pause;
+            process.set_phase(Phase::Down, now);
         }
     }
 
@@ -159,109 +159,114 @@
         self.stopping
     }
 
-    /// Whether everything is down after a stop.
+    /// Whether the shutdown is complete: every process is down or given up.
     pub fn is_over(&self) -> bool {
-        self.stopping && self.processes.iter().all(|p| matches!(p.phase, Phase::Down | Phase::GivenUp))
+        self.stopping
+            && self.processes.iter().all(|process| matches!(process.phase, Phase::Down | Phase::GivenUp))
     }
 
-    /// Whether everything is ready.
+    /// Whether every process is ready.
     pub fn all_up(&self) -> bool {
-        self.processes.iter().all(|p| p.phase == Phase::Up)
+        self.processes.iter().all(|process| process.phase == Phase::Up)
     }
 
     /// Phase of a process.
     pub fn phase(&self, index: usize) -> Option<Phase> {
-        self.processes.get(index).map(|p| p.phase)
+        self.processes.get(index).map(|process| process.phase)
     }
 
-    /// The processes, for people.
+    /// State of all processes, as shown to operators.
     pub fn views(&self) -> Vec<ProcessView> {
-        let view = |p: &Process| ProcessView {
-            name: p.name.clone(),
-            kind: p.kind,
-            phase: p.phase,
-            since: p.since,
-            restarts: p.restarts,
+        let view = |process: &Process| ProcessView {
+            name: process.name.clone(),
+            kind: process.kind,
+            phase: process.phase,
+            since: process.since,
+            restarts: process.restarts,
         };
         self.processes.iter().map(view).collect()
     }
 
-    /// Something happened to a process.
+    /// Handles an event of a process.
     pub fn happened(&mut self, index: usize, happening: Happening, now: Micros) {
         let limits = self.limits;
         let stopping = self.stopping;
-        let Some(p) = self.processes.get_mut(index) else { return };
+        let Some(process) = self.processes.get_mut(index) else { return };
         match happening {
             Happening::Found => {
-                p.answered = now;
-                p.enter(Phase::Up, now);
+                process.last_answer = now;
+                process.set_phase(Phase::Up, now);
             }
             Happening::Answered => {
-                p.answered = now;
-                if p.phase == Phase::Starting {
-                    p.enter(Phase::Up, now);
+                process.last_answer = now;
+                if process.phase == Phase::Starting {
+                    process.set_phase(Phase::Up, now);
                 }
-                // One that has stood for a window is as good as new.
-                if p.phase == Phase::Up && now - p.since > limits.window {
-                    p.pause = limits.pause;
+                // After a window of uptime the restart pause starts from its initial value again.
+                if process.phase == Phase::Up && now - process.since > limits.window {
+                    process.pause = limits.pause;
                 }
             }
-            Happening::Ended if stopping || p.phase == Phase::Leaving => p.enter(Phase::Down, now),
-            Happening::Ended if matches!(p.phase, Phase::Starting | Phase::Up) => {
-                p.recent.push_back(now);
-                while p.recent.front().is_some_and(|&t| t < now - limits.window) {
-                    p.recent.pop_front();
+            Happening::Ended if stopping || process.phase == Phase::Leaving => {
+                process.set_phase(Phase::Down, now)
+            }
+            Happening::Ended if matches!(process.phase, Phase::Starting | Phase::Up) => {
+                process.recent_ends.push_back(now);
+                while process.recent_ends.front().is_some_and(|&t| t < now - limits.window) {
+                    process.recent_ends.pop_front();
                 }
-                // Danger: a process that cannot live takes the machine down by being started for ever.
-                if p.recent.len() > limits.restarts {
-                    p.enter(Phase::GivenUp, now);
+                // A process that fails at every start would overload the machine if it were restarted forever.
+                if process.recent_ends.len() > limits.restarts {
+                    process.set_phase(Phase::GivenUp, now);
                 } else {
-                    p.enter(Phase::Pausing, now);
+                    process.set_phase(Phase::Pausing, now);
                 }
             }
             Happening::Ended => {}
         }
     }
 
-    /// What is to be done now. Starts and stops go in order: gateways start when every node is ready or given up, nodes leave
-    /// when every gateway is down.
+    /// Returns the actions due now. Starts and stops are ordered: gateways start when every node is ready, given up or was
+    /// restarted before; nodes are asked to shut down when every gateway is down.
     pub fn tick(&mut self, now: Micros) -> Vec<Act> {
         let mut acts = Vec::new();
         let nodes_settled = self
             .processes
             .iter()
-            .filter(|p| p.kind == Kind::Node)
-            .all(|p| matches!(p.phase, Phase::Up | Phase::GivenUp) || p.restarts > 0);
+            .filter(|process| process.kind == Kind::Node)
+            .all(|process| matches!(process.phase, Phase::Up | Phase::GivenUp) || process.restarts > 0);
         let gateways_down = self
             .processes
             .iter()
-            .filter(|p| p.kind == Kind::Gateway)
-            .all(|p| matches!(p.phase, Phase::Down | Phase::GivenUp));
+            .filter(|process| process.kind == Kind::Gateway)
+            .all(|process| matches!(process.phase, Phase::Down | Phase::GivenUp));
         let (limits, stopping) = (self.limits, self.stopping);
-        for (index, p) in self.processes.iter_mut().enumerate() {
-            let age = now - p.since;
-            match p.phase {
-                Phase::Down if !stopping && (p.kind == Kind::Node || nodes_settled) => {
-                    p.enter(Phase::Starting, now);
-                    p.answered = now;
+        for (index, process) in self.processes.iter_mut().enumerate() {
+            let age = now - process.since;
+            match process.phase {
+                Phase::Down if !stopping && (process.kind == Kind::Node || nodes_settled) => {
+                    process.set_phase(Phase::Starting, now);
+                    process.last_answer = now;
                     acts.push(Act::Start(index));
                 }
-                Phase::Pausing if stopping => p.enter(Phase::Down, now),
-                Phase::Pausing if age >= p.pause => {
-                    p.pause = (p.pause * 2).min(limits.longest_pause);
-                    p.restarts += 1;
-                    p.enter(Phase::Starting, now);
-                    p.answered = now;
+                Phase::Pausing if stopping => process.set_phase(Phase::Down, now),
+                Phase::Pausing if age >= process.pause => {
+                    process.pause = (process.pause * 2).min(limits.longest_pause);
+                    process.restarts += 1;
+                    process.set_phase(Phase::Starting, now);
+                    process.last_answer = now;
                     acts.push(Act::Start(index));
                 }
-                Phase::Starting | Phase::Up if stopping && (p.kind == Kind::Gateway || gateways_down) => {
-                    p.enter(Phase::Leaving, now);
+                Phase::Starting | Phase::Up
+                    if stopping && (process.kind == Kind::Gateway || gateways_down) =>
+                {
+                    process.set_phase(Phase::Leaving, now);
                     acts.push(Act::Leave(index));
                 }
                 Phase::Starting if age > limits.ready_within => acts.push(Act::Kill(index)),
-                // Danger: a process that stands still holds its identity and serves nobody. Harm: one that only stalls for long
-                // loses what it holds.
-                Phase::Up if now - p.answered > limits.silent_for => acts.push(Act::Kill(index)),
+                // A hung process keeps its identity and serves no requests, so it is killed. The cost: a process that only
+                // stalls for that long loses its in-memory state.
+                Phase::Up if now - process.last_answer > limits.silent_for => acts.push(Act::Kill(index)),
                 Phase::Leaving if age > limits.leave_within => acts.push(Act::Kill(index)),
                 _ => {}
             }
@@ -271,7 +276,7 @@
 }
 
 impl Process {
-    fn enter(&mut self, phase: Phase, now: Micros) {
+    fn set_phase(&mut self, phase: Phase, now: Micros) {
         (self.phase, self.since) = (phase, now);
     }
 }
