--- a/crates/gateway/src/node_connection/replies.rs
+++ b/crates/gateway/src/node_connection/replies.rs
@@ -86,7 +86,8 @@
     Submission { sqe, data: send.data.clone(), expect, user }
 }
 
-/// The end of an attempt as reported by a node's reply. Only the status *full* proves that a command never ran.
+/// The end of an attempt as reported by a node's reply. Only the status *full* proves that a command never
+/// ran.
 fn end_for_reply(reply: Reply) -> AttemptEnd {
     let outcome = if reply.status.is_success() {
         Outcome::Served
--- a/crates/task/src/lib.rs
+++ b/crates/task/src/lib.rs
@@ -7,8 +7,8 @@
 //! - Code run here holds no thread-local, no `std` lock guard, no `RefCell` borrow and no entered tracing
 //!   span across anything that waits (socket, channel, sleep). Only `may`'s own waits are used inside
 //!   coroutines.
-//! - Stacks are [`STACK_WORDS`] words with a guard page below them, so that an overflow ends the process instead of
-//!   corrupting memory; the depth that the gateway needs is tested under its longest paths.
+//! - Stacks are [`STACK_WORDS`] words with a guard page below them, so that an overflow ends the process
+//!   instead of corrupting memory; the depth that the gateway needs is tested under its longest paths.
 
 #![warn(missing_docs)]
 #![deny(unsafe_op_in_unsafe_fn)]
