--- a/crates/fleet/examples/schedules.rs
+++ b/crates/fleet/examples/schedules.rs
@@ -1,4 +1,4 @@
-//! Plays drawn schedules of troubles against fleets in virtual time:
+//! Runs random fault schedules against fleets in virtual time:
 //! `cargo run --release -p fleet --example schedules -- --count 10000 --seed 1`.
 
 #[path = "../tests/net/mod.rs"]
@@ -17,26 +17,26 @@
     let (count, first) = (number("--count", 1000), number("--seed", 1));
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(3) as u64;
     let parts: Vec<_> = (0..threads)
-        .map(|part| {
+        .map(|thread| {
             std::thread::spawn(move || {
-                let seeds = (first..first + count).filter(|seed| seed % threads == part);
-                seeds.map(|seed| (seed, schedule::play(seed, Plant::None))).collect::<Vec<_>>()
+                let seeds = (first..first + count).filter(|seed| seed % threads == thread);
+                seeds.map(|seed| (seed, schedule::run_schedule(seed, Plant::None))).collect::<Vec<_>>()
             })
         })
         .collect();
     let mut all: Vec<_> = parts.into_iter().flat_map(|p| p.join().expect("a schedule panicked")).collect();
     all.sort_by_key(|(seed, _)| *seed);
     let (mut settled, mut parts, mut flapping, mut failed) = (Vec::new(), Vec::new(), Vec::new(), 0);
-    for (seed, played) in all {
-        match played {
-            Ok(played) => {
-                let part = played.settled / 10 / i64::from(played.bound);
-                if part > 60 {
-                    println!("seed {seed}: {part} % of its bound of {} periods", played.bound);
+    for (seed, result) in all {
+        match result {
+            Ok(result) => {
+                let share = result.settled / 10 / i64::from(result.bound);
+                if share > 60 {
+                    println!("seed {seed}: {share} % of its bound of {} periods", result.bound);
                 }
-                settled.push(played.settled);
-                parts.push(part);
-                flapping.extend(played.flapping);
+                settled.push(result.settled);
+                parts.push(share);
+                flapping.extend(result.flapping);
             }
             Err(why) => {
                 failed += 1;
@@ -48,9 +48,9 @@
     parts.sort_unstable();
     flapping.sort_by(f64::total_cmp);
     println!("{count} schedules from seed {first}: {failed} failed");
-    let at = |part: usize| settled.get((settled.len() * part / 1000).min(settled.len().saturating_sub(1)));
+    let at = |share: usize| settled.get((settled.len() * share / 1000).min(settled.len().saturating_sub(1)));
     println!(
-        "periods to settle, in thousandths: median {:?}, 99% {:?}, 99.9% {:?}, most {:?}",
+        "periods to converge, in thousandths: median {:?}, 99% {:?}, 99.9% {:?}, most {:?}",
         at(500),
         at(990),
         at(999),
@@ -58,9 +58,9 @@
     );
     println!("most of its bound that a schedule needed: {:?} %", parts.last());
     let flaps =
-        |part: usize| flapping.get((flapping.len() * part / 100).min(flapping.len().saturating_sub(1)));
+        |share: usize| flapping.get((flapping.len() * share / 100).min(flapping.len().saturating_sub(1)));
     println!(
-        "{} with troubles of links only: changes for each member of a view and minute: median {:?}, 99% {:?}, most {:?}",
+        "{} with link faults only: standing changes per view, member and minute: median {:?}, 99% {:?}, most {:?}",
         flapping.len(),
         flaps(50),
         flaps(99),
--- a/crates/fleet/src/counts.rs
+++ b/crates/fleet/src/counts.rs
@@ -1,15 +1,15 @@
-//! What a view has cost and how often it changed.
+//! Counters of membership traffic and changes.
 
-/// Counts since the start of this life.
+/// Counters since the start of this life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Notes sent.
+    /// Messages sent.
     pub notes_out: u64,
-    /// Bytes of their bodies.
+    /// Bytes of sent message bodies.
     pub bytes_out: u64,
-    /// Notes that came.
+    /// Messages received.
     pub notes_in: u64,
-    /// Bytes of their bodies.
+    /// Bytes of received message bodies.
     pub bytes_in: u64,
     /// Snapshots published.
     pub changes: u64,
@@ -19,10 +19,10 @@
     pub refutations: u64,
     /// Suspicions that this gateway raised.
     pub suspicions: u64,
-    /// Notes and words in them that were turned away.
+    /// Rejected messages and records.
     pub turned_away: u64,
-    /// Times that this gateway found that it had itself been stopped or starved.
+    /// Times that this gateway detected that its own process had been stopped or starved.
     pub late: u64,
-    /// Volumes of its own that did not fit into its holding.
+    /// Own volumes that did not fit into the holding.
     pub cut: u64,
 }
--- a/crates/fleet/src/detector.rs
+++ b/crates/fleet/src/detector.rs
@@ -1,9 +1,9 @@
-//! Whom this gateway probes, and when it doubts a member rather than itself.
+//! Failure detector: selects probe targets and decides when to suspect a member.
 //!
-//! One member is probed in a period, in an order drawn anew for each round (SWIM), directly, then through others. It is
-//! doubted after several probes in a row, none answered by any way, with nothing heard of it in between. The doubt turns on
-//! this gateway itself first (Lifeguard): when it was late itself, and when it has heard nobody at all, its probes say
-//! nothing about the others.
+//! One member is probed in each period, in a random order drawn anew for each round (SWIM), first directly and then through
+//! other members. It is suspected after several failed probes in a row with nothing received from it in between. The
+//! detector considers a local fault first (Lifeguard): while this gateway was late itself, or received nothing from
+//! anybody, its probes say nothing about the others.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,34 +14,34 @@
 
 use crate::Micros;
 
-/// Probes in a row that must fail before a member is doubted; each doubt in vain adds two, up to the most.
-const PROBES: u32 = 2;
-const MOST_PROBES: u32 = 6;
-/// Periods after which one doubt in vain is forgotten.
-const VAIN: Micros = 30;
-/// How many times over the periods of probes are lengthened at most while this gateway doubts itself.
-const MOST_HEALTH: u32 = 3;
-/// Periods without a doubt after this gateway was late.
-const GRACE: Micros = 2;
+/// Consecutive failed probes before a member is suspected. Each refuted suspicion adds two, up to the maximum.
+const PROBES_BEFORE_SUSPICION: u32 = 2;
+const MAX_PROBES_BEFORE_SUSPICION: u32 = 6;
+/// Periods after which the requirement for extra probes falls by one.
+const EXTRA_PROBE_DECAY_PERIODS: Micros = 30;
+/// Maximum local health score; a score of `n` extends probe timeouts by `n` times their base.
+const MAX_HEALTH_SCORE: u32 = 3;
+/// Periods without new suspicions after this gateway was late.
+const GRACE_PERIODS: Micros = 2;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub(crate) target: PeerName,
-    /// When it began, which is also its number.
+    /// Start time, which also serves as the probe's number.
     pub(crate) began: Micros,
-    relay_at: Option<Micros>,
-    ends: Micros,
+    indirect_at: Option<Micros>,
+    ends_at: Micros,
 }
 
-/// What a probe came to.
+/// The result of a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Judged {
+pub(crate) enum ProbeVerdict {
     Answered,
-    /// Nobody at all was heard: this gateway doubts itself.
-    Deaf,
+    /// Nothing was received from any member, or the grace period applies: the fault may be local.
+    Isolated,
     Missed,
-    /// Missed so often that the member is doubted.
-    Doubted(PeerName),
+    /// Enough consecutive probes failed to suspect the member.
+    Suspected(PeerName),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -49,24 +49,24 @@
     heard: Option<Micros>,
     round_trip: Micros,
     missed: u32,
-    vain: u32,
-    vain_at: Micros,
-    /// The helper that reached it last.
-    through: Option<PeerName>,
+    extra_probes: u32,
+    extra_probes_since: Micros,
+    /// The last helper that reached this member.
+    last_helper: Option<PeerName>,
 }
 
 pub(crate) struct Detector {
     period: Micros,
-    order: Vec<PeerName>,
-    first: VecDeque<PeerName>,
+    probe_order: Vec<PeerName>,
+    priority_targets: VecDeque<PeerName>,
     probe: Option<Probe>,
     peers: BTreeMap<PeerName, Peer>,
     last_heard: Micros,
-    health: u32,
-    grace: Micros,
-    /// How long the last three answers took, whoever's: if two were late, the ways from here are long.
-    took: [Micros; 3],
-    trusts_itself: bool,
+    health_score: u32,
+    grace_until: Micros,
+    /// The last three round trips to any member. If two were slow, connections from here are slow.
+    recent_round_trips: [Micros; 3],
+    self_checks_disabled: bool,
 }
 
 impl Detector {
@@ -74,71 +74,75 @@
         period: Micros,
         now: Micros,
         names: impl Iterator<Item = PeerName>,
-        trusts_itself: bool,
+        self_checks_disabled: bool,
     ) -> Self {
         Detector {
             period,
-            order: Vec::new(),
-            first: VecDeque::new(),
+            probe_order: Vec::new(),
+            priority_targets: VecDeque::new(),
             probe: None,
             peers: names.map(|name| (name, Peer::default())).collect(),
             last_heard: now,
-            health: 0,
-            grace: now,
-            took: [0; 3],
-            trusts_itself,
+            health_score: 0,
+            grace_until: now,
+            recent_round_trips: [0; 3],
+            self_checks_disabled,
         }
     }
 
-    /// This gateway was stopped or starved until now.
-    pub(crate) fn late(&mut self, now: Micros) {
+    /// Resets the detector after this gateway was stopped or starved until now.
+    pub(crate) fn resume_after_pause(&mut self, now: Micros) {
         self.probe = None;
-        self.health = MOST_HEALTH;
-        self.grace = now + GRACE * self.period;
+        self.health_score = MAX_HEALTH_SCORE;
+        self.grace_until = now + GRACE_PERIODS * self.period;
         self.last_heard = now;
         self.peers.values_mut().for_each(|p| p.missed = 0);
     }
 
     pub(crate) fn is_in_grace(&self, now: Micros) -> bool {
-        now < self.grace
+        now < self.grace_until
     }
 
-    /// Until when it doubts nobody.
+    /// End of the grace period without new suspicions.
     pub(crate) fn grace_ends(&self) -> Micros {
-        self.grace
+        self.grace_until
     }
 
-    /// When this gateway last heard anybody.
+    /// When anything was last received from any member.
     pub(crate) fn last_heard(&self) -> Micros {
         self.last_heard
     }
 
-    /// When this gateway last heard this member itself.
+    /// When this member was last heard directly, or confirmed by a helper.
     pub(crate) fn heard_at(&self, name: &PeerName) -> Option<Micros> {
         self.peers.get(name)?.heard
     }
 
-    /// A member was heard itself, perhaps in answer to a ping of that number.
+    /// Records a message received from the member itself, with the ping number if it is an answer.
     pub(crate) fn heard(&mut self, now: Micros, name: &PeerName, number: Option<Micros>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.heard = Some(now);
         peer.missed = 0;
-        // Who hears again after it heard nobody has to find out first how the others are.
-        if now - self.last_heard > 4 * self.period && !self.trusts_itself {
-            self.grace = self.grace.max(now + GRACE * self.period);
+        // After hearing nobody, this gateway first has to learn the others' state.
+        if now - self.last_heard > 4 * self.period && !self.self_checks_disabled {
+            self.grace_until = self.grace_until.max(now + GRACE_PERIODS * self.period);
         }
         self.last_heard = now;
-        // An answer that comes after its probe has ended still says how long the way is, so that the next one waits longer.
-        if let Some(took) =
+        // An answer after the end of its probe still measures the round trip, so that the next probe waits longer.
+        if let Some(round_trip) =
             number.map(|n| now.saturating_sub(n)).filter(|t| (0..16 * self.period).contains(t))
         {
-            self.took.rotate_left(1);
-            self.took[2] = took;
-            peer.round_trip = if took > peer.round_trip { took } else { (peer.round_trip * 7 + took) / 8 };
+            self.recent_round_trips.rotate_left(1);
+            self.recent_round_trips[2] = round_trip;
+            peer.round_trip = if round_trip > peer.round_trip {
+                round_trip
+            } else {
+                (peer.round_trip * 7 + round_trip) / 8
+            };
         }
     }
 
-    /// A helper says that the member has answered to the probe of that number.
+    /// Records a helper's report that the member answered the probe with this number.
     pub(crate) fn reached(&mut self, now: Micros, helper: &PeerName, name: &PeerName, number: Micros) {
         self.heard(now, helper, None);
         if self.probe.as_ref().is_some_and(|p| p.target == *name && p.began == number)
@@ -146,126 +150,133 @@
         {
             peer.heard = Some(now);
             peer.missed = 0;
-            peer.through = Some(helper.clone());
+            peer.last_helper = Some(helper.clone());
         }
     }
 
-    /// The member refuted a doubt: the next one takes more.
+    /// The member refuted a suspicion: the next one requires more failed probes.
     pub(crate) fn refuted(&mut self, now: Micros, name: &PeerName) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.vain = (peer.vain + 2).min(MOST_PROBES - PROBES);
-            peer.vain_at = now;
+            peer.extra_probes =
+                (peer.extra_probes + 2).min(MAX_PROBES_BEFORE_SUSPICION - PROBES_BEFORE_SUSPICION);
+            peer.extra_probes_since = now;
         }
     }
 
-    /// The member lives anew: what was learnt of its former life is void.
-    pub(crate) fn renewed(&mut self, name: &PeerName) {
+    /// The member began a new life: discards what was learnt about the former one.
+    pub(crate) fn forget_former_life(&mut self, name: &PeerName) {
         if let Some(peer) = self.peers.get_mut(name) {
-            (peer.vain, peer.missed, peer.round_trip) = (0, 0, 0);
+            (peer.extra_probes, peer.missed, peer.round_trip) = (0, 0, 0);
         }
     }
 
-    /// The member should be probed next; if others doubt it, one more probe of this gateway's own is enough.
-    pub(crate) fn hurry(&mut self, name: &PeerName, doubted: bool) {
-        if !self.first.contains(name) {
-            self.first.push_back(name.clone());
+    /// Schedules the member as the next target. If others suspect it, one more failed probe from here is enough.
+    pub(crate) fn probe_soon(&mut self, name: &PeerName, suspected_by_others: bool) {
+        if !self.priority_targets.contains(name) {
+            self.priority_targets.push_back(name.clone());
         }
-        if doubted && let Some(peer) = self.peers.get_mut(name) {
-            peer.missed = peer.missed.max((PROBES + peer.vain).saturating_sub(1));
+        if suspected_by_others && let Some(peer) = self.peers.get_mut(name) {
+            peer.missed = peer.missed.max((PROBES_BEFORE_SUSPICION + peer.extra_probes).saturating_sub(1));
         }
     }
 
-    /// The next time at which something is to be done for the probe.
+    /// The next deadline of the open probe.
     pub(crate) fn due(&self) -> Option<Micros> {
-        self.probe.as_ref().map(|p| p.relay_at.unwrap_or(p.ends))
+        self.probe.as_ref().map(|p| p.indirect_at.unwrap_or(p.ends_at))
     }
 
-    /// Begins the next probe unless one is open; whom to ping. `wanted` says who is in the order.
-    pub(crate) fn begin(
+    /// Starts the next probe unless one is open, and returns the member to ping. `is_eligible` selects possible targets.
+    pub(crate) fn start_probe(
         &mut self,
         now: Micros,
         rng: &mut SmallRng,
-        wanted: impl Fn(&PeerName) -> bool,
+        is_eligible: impl Fn(&PeerName) -> bool,
     ) -> Option<PeerName> {
         if self.probe.is_some() {
             return None;
         }
         let target = loop {
-            let next = self.first.pop_front().or_else(|| self.order.pop());
+            let next = self.priority_targets.pop_front().or_else(|| self.probe_order.pop());
             match next {
-                Some(name) if wanted(&name) => break name,
+                Some(name) if is_eligible(&name) => break name,
                 Some(_) => {}
                 None => {
-                    self.order = self.peers.keys().filter(|name| wanted(name)).cloned().collect();
-                    self.order.shuffle(rng);
-                    if self.order.is_empty() {
+                    self.probe_order = self.peers.keys().filter(|name| is_eligible(name)).cloned().collect();
+                    self.probe_order.shuffle(rng);
+                    if self.probe_order.is_empty() {
                         return None;
                     }
                 }
             }
         };
-        let times = Micros::from(1 + self.health);
-        let mut took = self.took;
-        took.sort_unstable();
+        let scale = Micros::from(1 + self.health_score);
+        let mut recent_round_trips = self.recent_round_trips;
+        recent_round_trips.sort_unstable();
         let known = self.peers.get(&target).map_or(0, |p| p.round_trip);
-        let round_trip = known.max(took[1]).min(4 * self.period);
-        // The quarter and the whole of a period are lengthened by doubt, the ways by what they are known to take; together
-        // they stay under five periods, or a silence would take too long to find out.
-        let relay = (self.period / 4 * times).max(2 * round_trip).min(4 * self.period);
-        let ends = (self.period * times).max(relay + self.period / 2);
-        self.probe =
-            Some(Probe { target: target.clone(), began: now, relay_at: Some(now + relay), ends: now + ends });
+        let round_trip = known.max(recent_round_trips[1]).min(4 * self.period);
+        // The health score extends the base timeouts (a quarter of a period and a whole one); measured round trips raise them
+        // further. The total stays under five periods, otherwise detecting a silent member would take too long.
+        let indirect_after = (self.period / 4 * scale).max(2 * round_trip).min(4 * self.period);
+        let ends_after = (self.period * scale).max(indirect_after + self.period / 2);
+        self.probe = Some(Probe {
+            target: target.clone(),
+            began: now,
+            indirect_at: Some(now + indirect_after),
+            ends_at: now + ends_after,
+        });
         Some(target)
     }
 
-    /// The probe if it is time to ask others to probe too.
-    pub(crate) fn relay(&mut self, now: Micros) -> Option<Probe> {
+    /// Returns the probe when it is time to request indirect probes.
+    pub(crate) fn indirect_probe_due(&mut self, now: Micros) -> Option<Probe> {
         let probe = self.probe.as_mut()?;
-        probe.relay_at.filter(|at| now >= *at)?;
-        probe.relay_at = None;
+        probe.indirect_at.filter(|at| now >= *at)?;
+        probe.indirect_at = None;
         let heard = self.peers.get(&probe.target)?.heard;
         heard.is_none_or(|at| at < probe.began).then(|| probe.clone())
     }
 
-    /// Judges the probe if it has ended.
-    pub(crate) fn judge(&mut self, now: Micros) -> Option<Judged> {
-        let probe = self.probe.take_if(|p| now >= p.ends)?;
-        let grace = self.is_in_grace(now);
+    /// Evaluates the probe if it has ended.
+    pub(crate) fn finish_probe(&mut self, now: Micros) -> Option<ProbeVerdict> {
+        let probe = self.probe.take_if(|p| now >= p.ends_at)?;
+        let in_grace = self.is_in_grace(now);
         let peer = self.peers.get_mut(&probe.target)?;
         if peer.heard.is_some_and(|at| at >= probe.began) {
-            self.health = self.health.saturating_sub(1);
-            return Some(Judged::Answered);
+            self.health_score = self.health_score.saturating_sub(1);
+            return Some(ProbeVerdict::Answered);
         }
-        // Danger: who is cut off or was stopped would doubt all the others, and each of them would have to refute it.
-        // Harm: who is alone in hearing nobody finds out by its own silence, later than by probes.
-        let deaf = self.last_heard < probe.began - self.period;
-        if (deaf || grace) && !self.trusts_itself {
-            self.health = (self.health + 1).min(MOST_HEALTH);
-            return Some(Judged::Deaf);
+        // Without this, a gateway that was cut off or stopped would suspect all others, and each would have to refute it. The
+        // cost: an isolated gateway detects its isolation by silence, which takes longer than by probes.
+        let isolated = self.last_heard < probe.began - self.period;
+        if (isolated || in_grace) && !self.self_checks_disabled {
+            self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
+            return Some(ProbeVerdict::Isolated);
         }
-        let forgotten = u32::try_from((now - peer.vain_at) / (VAIN * self.period)).unwrap_or(u32::MAX);
-        if forgotten > 0 {
-            peer.vain = peer.vain.saturating_sub(forgotten);
-            peer.vain_at = now;
+        let decayed =
+            u32::try_from((now - peer.extra_probes_since) / (EXTRA_PROBE_DECAY_PERIODS * self.period))
+                .unwrap_or(u32::MAX);
+        if decayed > 0 {
+            peer.extra_probes = peer.extra_probes.saturating_sub(decayed);
+            peer.extra_probes_since = now;
         }
-        // A miss may be this gateway's own slowness: the next probe has longer (Lifeguard).
-        self.health = (self.health + 1).min(MOST_HEALTH);
+        // The failure may be caused by this gateway's own slowness: allow the next probe more time (Lifeguard).
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         peer.missed += 1;
-        if peer.missed >= PROBES + peer.vain {
+        if peer.missed >= PROBES_BEFORE_SUSPICION + peer.extra_probes {
             peer.missed = 0;
-            return Some(Judged::Doubted(probe.target));
+            return Some(ProbeVerdict::Suspected(probe.target));
         }
-        self.first.push_front(probe.target);
-        Some(Judged::Missed)
+        self.priority_targets.push_front(probe.target);
+        Some(ProbeVerdict::Missed)
     }
 
-    /// Draws helpers for a probe among those offered: the one that reached the target last, then those heard of late, then
-    /// others; so many, and as many again for each probe in a row that failed.
+    /// Chooses helpers for an indirect probe among those offered: first the last one that reached the target, then randomly
+    /// those heard recently, then others. At most `max_helpers`, and as many again for each consecutive failed probe.
     pub(crate) fn helpers(
         &self,
         now: Micros,
         rng: &mut SmallRng,
-        most: usize,
+        max_helpers: usize,
         target: &PeerName,
         offered: Vec<PeerName>,
     ) -> Vec<PeerName> {
@@ -274,15 +285,15 @@
         near.shuffle(rng);
         far.shuffle(rng);
         let peer = self.peers.get(target);
-        let through =
-            peer.and_then(|p| p.through.clone()).filter(|name| near.contains(name) || far.contains(name));
-        let rest = near.into_iter().chain(far).filter(|name| Some(name) != through.as_ref());
-        let most = most * (1 + peer.map_or(0, |p| p.missed) as usize);
-        through.clone().into_iter().chain(rest).take(most).collect()
+        let last_helper =
+            peer.and_then(|p| p.last_helper.clone()).filter(|name| near.contains(name) || far.contains(name));
+        let rest = near.into_iter().chain(far).filter(|name| Some(name) != last_helper.as_ref());
+        let max_helpers = max_helpers * (1 + peer.map_or(0, |p| p.missed) as usize);
+        last_helper.clone().into_iter().chain(rest).take(max_helpers).collect()
     }
 }
 
-/// One of those offered.
-pub(crate) fn one_of(rng: &mut SmallRng, offered: &[PeerName]) -> Option<PeerName> {
+/// Chooses one of the offered members at random; `None` if there are none.
+pub(crate) fn choose_one(rng: &mut SmallRng, offered: &[PeerName]) -> Option<PeerName> {
     (!offered.is_empty()).then(|| offered[rng.random_range(0..offered.len())].clone())
 }
--- a/crates/fleet/src/holding.rs
+++ b/crates/fleet/src/holding.rs
@@ -1,17 +1,17 @@
-//! What a member holds.
+//! The volumes and versions that a member announces.
 
 use serde::{Deserialize, Serialize};
 
-/// Volumes that a holding names at most; more are cut off and counted, as a note has a bound.
+/// Maximum volumes in a holding. The rest is cut off and counted, because the size of a message is bounded.
 pub const MOST_VOLUMES: usize = 1024;
 
-/// What a gateway serves and which versions it goes by, in its own words.
+/// The volumes that a gateway serves and the versions that it applies, as the gateway itself announces them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holding {
-    /// Volumes that it serves, by number.
+    /// Numbers of the volumes that it serves.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub volumes: Vec<u32>,
-    /// Version of its cap on repeats.
+    /// Version of its cap on retries.
     #[serde(rename = "c", default)]
     pub cap: u64,
     /// Version of its candidate map; 0 if it has none.
@@ -20,7 +20,7 @@
 }
 
 impl Holding {
-    /// The same with its volumes in order, each once, and at most [`MOST_VOLUMES`]; and how many were cut off.
+    /// Sorts and deduplicates the volumes and keeps at most [`MOST_VOLUMES`]; also returns how many were cut off.
     pub(crate) fn bounded(mut self) -> (Holding, usize) {
         self.volumes.sort_unstable();
         self.volumes.dedup();
--- a/crates/fleet/src/input.rs
+++ b/crates/fleet/src/input.rs
@@ -1,61 +1,61 @@
-//! What goes into a fleet's view and what comes out of it.
+//! Inputs and outputs of the membership state machine.
 
 use std::sync::Arc;
 
 use peer::{Life, PeerName};
 
 use crate::holding::Holding;
-use crate::sight::NodeSight;
+use crate::node_observation::NodeSight;
 use crate::view::View;
 
-/// What happened.
+/// An event to process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A connection to a peer in this life is up.
+    /// A connection to a peer, in this life of the peer, was established.
     Linked(PeerName, Life),
-    /// The connection has ended.
+    /// The connection to the peer was closed.
     Unlinked(PeerName),
-    /// A peer's note of this package came.
+    /// A membership message arrived from a peer.
     Heard {
-        /// Who sent it.
+        /// The sender.
         from: PeerName,
-        /// In which life.
+        /// The sender's life.
         life: Life,
-        /// What it says.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// What this gateway holds now: volumes it serves, versions of its cap and candidate map.
+    /// Replaces this gateway's holding: the volumes it serves and the versions of its cap and candidate map.
     Hold(Holding),
-    /// What this gateway sees of a node. It stands until it is told otherwise.
+    /// This gateway's observation of a node, valid until the next one.
     Saw(NodeSight),
-    /// It goes on in another life.
+    /// This gateway continues under another life.
     Renewed(Life),
-    /// It is about to leave by its own will: leaving at once, left some periods later.
+    /// This gateway leaves voluntarily: it is `Leaving` at once and `Left` some periods later.
     Leave,
-    /// An operator says that a member has left for good in this life.
+    /// An operator removes a member, for good in this life of it.
     Left(PeerName, Life),
-    /// Time has passed; wanted at [`crate::Fleet::next_due`]. If nothing at all comes in until more than a period later, the
-    /// gateway takes itself for stopped or starved.
+    /// Time has passed; due at [`crate::Fleet::next_due`]. If no input arrives until more than a period later, the gateway
+    /// concludes that its own process was stopped or starved.
     Tick,
 }
 
-/// What is to be done.
+/// An effect that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a note of [`crate::KIND`].
+    /// Send a message of kind [`crate::KIND`].
     Send {
-        /// To whom.
+        /// The receiver.
         to: PeerName,
-        /// What it says.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// The view changed; the snapshot is immutable.
+    /// The view changed. The snapshot is immutable.
     Changed(Arc<View>),
-    /// Something that a member said was turned away; for the log, once for each cause and member.
+    /// Something that a member sent was rejected. Emitted for the log, once for each reason and member.
     TurnedAway {
-        /// Who said it.
+        /// The sender.
         from: PeerName,
-        /// What was wrong.
+        /// The reason.
         why: &'static str,
     },
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,43 +1,44 @@
-//! A member as its users see it.
+//! The public description of a member.
 
 use peer::{Life, PeerName};
 
 use crate::Micros;
 use crate::holding::Holding;
 
-/// Where a member stands in one gateway's view.
+/// A member's state in one gateway's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Standing {
-    /// The site file names it and nobody here has heard of a life of it. Never counted as up.
+    /// Named by the site file, but no life of it is known here. Never counted as up.
     Joining,
-    /// It is there by its own word, and nobody doubts that.
+    /// Running by its own announcement, and suspected by nobody.
     Up,
-    /// Somebody reached it neither itself nor through others; it may refute that.
+    /// A gateway reached it neither directly nor through others. The member may still refute this.
     Suspected,
-    /// It has not refuted in time, or this gateway hears nobody. A fact about links: it may well be running.
+    /// It did not refute the suspicion in time, or this gateway hears nobody. This describes connections: the member may
+    /// still be running.
     Unreachable,
-    /// It is about to leave, by its own word.
+    /// It announced that it is about to leave.
     Leaving,
-    /// It has left for good in that life, by its own word or an operator's. Only a later life brings it back.
+    /// It left for good in that life, by its own announcement or an operator's. Only a later life can rejoin.
     Left,
 }
 
-/// Whether a member is there, for those who must act on it.
+/// Whether a member is present, for users that must act on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Presence {
-    /// It is up, as far as anybody knows.
+    /// It is up as far as this view knows.
     Sure,
     /// It may be running and serving: suspected, unreachable, leaving or not heard of yet.
     Perhaps,
-    /// It has left by a word that is not taken back in that life, or is no member.
+    /// It left, which is final for that life, or is not a member.
     Not,
 }
 
 impl Standing {
-    /// What the standing says of the member's presence.
+    /// The presence that follows from this standing.
     ///
-    /// Danger: to take silence for absence would let a user act in place of a gateway that still acts.
-    /// Harm: whoever waits for [`Presence::Not`] waits for an operator if a member died without a word.
+    /// Treating silence as absence would let a user act in place of a gateway that is still active. The cost: if a member
+    /// died without announcing it, whoever waits for [`Presence::Not`] waits for an operator.
     pub fn presence(self) -> Presence {
         match self {
             Standing::Up => Presence::Sure,
@@ -52,16 +53,16 @@
 /// One member of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, the same at all.
+    /// Its name, the same on all gateways.
     pub name: PeerName,
     /// Its zone, from the site file.
     pub zone: u32,
-    /// The latest life known; none while it is joining.
+    /// The latest known life; `None` while it is joining.
     pub life: Option<Life>,
-    /// Where it stands.
+    /// Its state in this view.
     pub standing: Standing,
-    /// When it came to stand so here, or began this life, on this gateway's clock.
+    /// When this standing began on this gateway, on its clock.
     pub since: Micros,
-    /// What it holds, in its own words.
+    /// Its own announcement of volumes and versions.
     pub holding: Holding,
 }
--- a/crates/fleet/src/roll.rs
+++ b/crates/fleet/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of members: what is known of each, and where it stands here.
+//! Member table: the known record of each member and its standing on this gateway.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 use crate::options::{FleetOptions, Plant};
 use crate::record::{MOST_JUMP, MOST_NUMBER, MOST_WITNESSES, Record};
 
-/// Periods after which a member that left is no longer shown. Its record stays.
-const SHOWN_LEFT: Micros = 60;
-/// Parts of a thousand by which suspicion has shrunk from the longest to the shortest with 1, 2, 3 and 4 witnesses:
-/// `log(witnesses) / log(4)`, as Lifeguard has it.
-const SHRUNK: [Micros; MOST_WITNESSES] = [0, 500, 792, 1000];
+/// Periods after which a member that left disappears from views. Its record is kept.
+const LEFT_VISIBLE_PERIODS: Micros = 60;
+/// Reduction of the suspicion timeout, in thousandths of the range from longest to shortest, for 1, 2, 3 and 4 witnesses:
+/// `log(witnesses) / log(4)`, from Lifeguard.
+const SUSPICION_REDUCTION_PERMILLE: [Micros; MOST_WITNESSES] = [0, 500, 792, 1000];
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -23,93 +23,106 @@
     record: Option<Record>,
     standing: Standing,
     since: Micros,
-    /// When the suspicion that stands was first heard of here.
-    doubted: Option<Micros>,
+    /// When the current suspicion first became known here.
+    suspected_at: Option<Micros>,
 }
 
-/// How long a suspicion lasts.
+/// Bounds of the time that a member has to refute a suspicion.
 #[derive(Clone, Copy, Debug)]
-struct Span {
+struct SuspicionTimeout {
     longest: Micros,
     shortest: Micros,
 }
 
 impl Entry {
-    /// When the suspicion that stands is over.
-    fn ends(&self, span: Span) -> Option<Micros> {
+    /// When the current suspicion times out.
+    fn suspicion_end(&self, suspicion_timeout: SuspicionTimeout) -> Option<Micros> {
         let witnesses = self.record.as_ref()?.witnesses.len().clamp(1, MOST_WITNESSES);
-        let shrunk = (span.longest - span.shortest) * SHRUNK[witnesses - 1] / 1000;
-        Some(self.doubted? + span.longest - shrunk)
+        let reduction = (suspicion_timeout.longest - suspicion_timeout.shortest)
+            * SUSPICION_REDUCTION_PERMILLE[witnesses - 1]
+            / 1000;
+        Some(self.suspected_at? + suspicion_timeout.longest - reduction)
     }
 
-    fn stands(&self, span: Span, now: Micros, alone: bool, grace: bool, own: bool) -> Standing {
+    fn current_standing(
+        &self,
+        suspicion_timeout: SuspicionTimeout,
+        now: Micros,
+        isolated: bool,
+        in_grace: bool,
+        own: bool,
+    ) -> Standing {
         let Some(record) = &self.record else { return Standing::Joining };
         if record.left {
             return Standing::Left;
         }
-        if alone {
+        if isolated {
             return Standing::Unreachable;
         }
-        // A doubt of itself is a gateway's own to refute, never to believe.
+        // A gateway refutes a suspicion of itself and never adopts it.
         if !own && !record.witnesses.is_empty() {
-            let over = self.ends(span).is_some_and(|end| now >= end);
-            let was = self.standing == Standing::Unreachable;
-            return if over && (was || !grace) { Standing::Unreachable } else { Standing::Suspected };
+            let expired = self.suspicion_end(suspicion_timeout).is_some_and(|end| now >= end);
+            let was_unreachable = self.standing == Standing::Unreachable;
+            return if expired && (was_unreachable || !in_grace) {
+                Standing::Unreachable
+            } else {
+                Standing::Suspected
+            };
         }
         if record.leaving { Standing::Leaving } else { Standing::Up }
     }
 }
 
-/// What a merge has done.
+/// The effect of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Merged {
-    Nothing,
-    /// Something is new.
-    News,
+pub(crate) enum MergeOutcome {
+    Unchanged,
+    /// The record changed in some other respect.
+    Updated,
     /// A suspicion began.
-    Doubted,
+    Suspected,
     /// A suspicion was refuted.
     Refuted,
-    /// A later life began.
-    Renewed,
+    /// The record is of a later life, or the first one known.
+    NewLife,
 }
 
-pub(crate) struct Roll {
+pub(crate) struct MemberTable {
     own: PeerName,
     entries: BTreeMap<PeerName, Entry>,
-    span: Span,
+    suspicion_timeout: SuspicionTimeout,
     digest: u64,
-    stale: bool,
+    digest_outdated: bool,
     changed: bool,
-    shown_left: Micros,
+    left_visible_for: Micros,
     plant: Plant,
 }
 
-impl Roll {
-    pub(crate) fn new(options: &FleetOptions, life: Life, now: Micros) -> Roll {
+impl MemberTable {
+    pub(crate) fn new(options: &FleetOptions, life: Life, now: Micros) -> MemberTable {
         let period = options.period;
         let entry =
-            |zone| Entry { zone, record: None, standing: Standing::Joining, since: now, doubted: None };
+            |zone| Entry { zone, record: None, standing: Standing::Joining, since: now, suspected_at: None };
         let mut entries: BTreeMap<_, _> =
             options.members.iter().map(|(name, zone)| (name.clone(), entry(*zone))).collect();
         let own = entries.entry(options.name.clone()).or_insert_with(|| entry(options.zone));
         own.record = Some(Record::new(life));
         own.standing = Standing::Up;
-        let mut roll = Roll {
+        let mut member_table = MemberTable {
             own: options.name.clone(),
             entries,
-            span: Span {
+            suspicion_timeout: SuspicionTimeout {
                 longest: Micros::from(options.suspicion.0.max(options.suspicion.1)) * period,
                 shortest: Micros::from(options.suspicion.1) * period,
             },
             digest: 0,
-            stale: true,
+            digest_outdated: true,
             changed: false,
-            shown_left: SHOWN_LEFT * period,
+            left_visible_for: LEFT_VISIBLE_PERIODS * period,
             plant: options.plant,
         };
-        roll.stand(now, false, false);
-        roll
+        member_table.refresh_standings(now, false, false);
+        member_table
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -128,7 +141,7 @@
         self.entries.get(name).map(|e| e.standing)
     }
 
-    /// Other members in the order of their names, with their standing.
+    /// Other members sorted by name, with their standing.
     pub(crate) fn others(&self) -> impl Iterator<Item = (&PeerName, Standing)> {
         self.entries.iter().filter(|(name, _)| **name != self.own).map(|(name, e)| (name, e.standing))
     }
@@ -137,8 +150,13 @@
         self.entries.iter().filter_map(|(name, e)| Some((name, e.record.as_ref()?)))
     }
 
-    /// Why a record of this member cannot be taken from another; none if it can.
-    pub(crate) fn wrong(&self, name: &PeerName, theirs: &Record, from: &PeerName) -> Option<&'static str> {
+    /// Reason to reject a received record; `None` if it is acceptable.
+    pub(crate) fn rejection_reason(
+        &self,
+        name: &PeerName,
+        theirs: &Record,
+        from: &PeerName,
+    ) -> Option<&'static str> {
         let Some(entry) = self.entries.get(name) else {
             return Some("it names a member that the site file does not: compare the site files");
         };
@@ -147,103 +165,104 @@
             Some(r) => (r.incarnation, 0),
             None => (0, 0),
         };
-        // Danger: a life near the end of its numbers would bar the member's true lives for ever. Harm: a member that
-        // truly started a million times unheard is known only once it is heard itself.
+        // Accepting an incarnation near the maximum would lock out the member's real lives for ever. The cost: a member that
+        // really started a million times unheard becomes known only from its own messages.
         let far = theirs.incarnation > known.saturating_add(MOST_JUMP) && name != from;
         let counted = theirs.own > counter.saturating_add(MOST_JUMP);
         if far || counted || theirs.incarnation > MOST_NUMBER || theirs.own > MOST_NUMBER {
-            return Some("it tells an impossible life or counter of a member: look at that gateway's disk");
+            return Some("it reports an impossible life or counter of a member: look at that gateway's disk");
         }
         let strange = |w: &PeerName| w == name || !self.entries.contains_key(w);
         if theirs.witnesses.len() > MOST_WITNESSES || theirs.witnesses.iter().any(strange) {
-            return Some("it names witnesses that cannot be");
+            return Some("it names invalid witnesses");
         }
-        (theirs.holding.volumes.len() > crate::MOST_VOLUMES).then_some("it tells too large a holding")
+        (theirs.holding.volumes.len() > crate::MOST_VOLUMES).then_some("it reports too large a holding")
     }
 
-    /// Takes what was found to be possible.
-    pub(crate) fn merge(&mut self, now: Micros, name: &PeerName, theirs: &Record) -> Merged {
+    /// Merges a record that passed [`MemberTable::rejection_reason`].
+    pub(crate) fn merge(&mut self, now: Micros, name: &PeerName, theirs: &Record) -> MergeOutcome {
         let plant = self.plant;
-        let Some(entry) = self.entries.get_mut(name) else { return Merged::Nothing };
+        let Some(entry) = self.entries.get_mut(name) else { return MergeOutcome::Unchanged };
         let Some(mine) = &entry.record else {
-            entry.doubted = (!theirs.witnesses.is_empty()).then_some(now);
+            entry.suspected_at = (!theirs.witnesses.is_empty()).then_some(now);
             entry.record = Some(theirs.clone());
-            self.stale = true;
-            return Merged::Renewed;
+            self.digest_outdated = true;
+            return MergeOutcome::NewLife;
         };
         let next = merge(mine, theirs, plant);
         if next == *mine {
-            return Merged::Nothing;
+            return MergeOutcome::Unchanged;
         }
         let renewed = next.life() != mine.life();
-        let spoke = renewed || next.own != mine.own;
-        let (was, is) = (!mine.witnesses.is_empty(), !next.witnesses.is_empty());
-        // The time runs from the first doubt of one word of the member's.
-        if !is || spoke {
-            entry.doubted = is.then_some(now);
-        } else if !was {
-            entry.doubted = Some(now);
+        let own_update = renewed || next.own != mine.own;
+        let (was_suspected, is_suspected) = (!mine.witnesses.is_empty(), !next.witnesses.is_empty());
+        // The timeout runs from the first suspicion of one update of the member.
+        if !is_suspected || own_update {
+            entry.suspected_at = is_suspected.then_some(now);
+        } else if !was_suspected {
+            entry.suspected_at = Some(now);
         }
         entry.record = Some(next);
-        self.stale = true;
-        match (renewed, was && spoke, is && (spoke || !was)) {
-            (true, _, _) => Merged::Renewed,
-            (_, _, true) => Merged::Doubted,
-            (_, true, _) => Merged::Refuted,
-            _ => Merged::News,
+        self.digest_outdated = true;
+        match (renewed, was_suspected && own_update, is_suspected && (own_update || !was_suspected)) {
+            (true, _, _) => MergeOutcome::NewLife,
+            (_, _, true) => MergeOutcome::Suspected,
+            (_, true, _) => MergeOutcome::Refuted,
+            _ => MergeOutcome::Updated,
         }
     }
 
-    /// Puts this gateway's own record in place of the one before.
-    pub(crate) fn say(&mut self, record: Record) {
+    /// Replaces this gateway's own record.
+    pub(crate) fn set_own_record(&mut self, record: Record) {
         if let Some(entry) = self.entries.get_mut(&self.own) {
             entry.record = Some(record);
-            entry.doubted = None;
-            self.stale = true;
+            entry.suspected_at = None;
+            self.digest_outdated = true;
         }
     }
 
-    /// This gateway was stopped for so long: what it timed meanwhile did not pass for the others.
-    pub(crate) fn shift(&mut self, by: Micros) {
+    /// Extends all suspicions by the time that this gateway was paused, as members could not refute them here meanwhile.
+    pub(crate) fn extend_suspicions(&mut self, by: Micros) {
         for entry in self.entries.values_mut() {
-            entry.doubted = entry.doubted.map(|at| at + by);
+            entry.suspected_at = entry.suspected_at.map(|at| at + by);
         }
     }
 
-    /// The next time at which a standing changes by itself.
+    /// The next time at which a suspicion times out.
     pub(crate) fn due(&self) -> Option<Micros> {
         let suspected = self.entries.values().filter(|e| e.standing == Standing::Suspected);
-        suspected.filter_map(|e| e.ends(self.span)).min()
+        suspected.filter_map(|e| e.suspicion_end(self.suspicion_timeout)).min()
     }
 
-    /// Brings the standings up to date; how many changed.
-    pub(crate) fn stand(&mut self, now: Micros, alone: bool, grace: bool) -> u64 {
+    /// Recomputes all standings; returns how many changed.
+    pub(crate) fn refresh_standings(&mut self, now: Micros, isolated: bool, in_grace: bool) -> u64 {
         let mut changes = 0;
         for (name, entry) in &mut self.entries {
             let own = *name == self.own;
-            let standing = entry.stands(self.span, now, alone && !own, grace, own);
+            let standing =
+                entry.current_standing(self.suspicion_timeout, now, isolated && !own, in_grace, own);
             if entry.standing != standing {
                 (entry.standing, entry.since) = (standing, now);
-                self.stale = true;
+                self.digest_outdated = true;
                 changes += 1;
             }
             if self.plant == Plant::LeftForgotten
                 && standing == Standing::Left
-                && now - entry.since > self.span.shortest
+                && now - entry.since > self.suspicion_timeout.shortest
             {
                 entry.record = None;
             }
         }
-        if std::mem::take(&mut self.stale) {
-            self.digest = self.digested();
+        if std::mem::take(&mut self.digest_outdated) {
+            self.digest = self.compute_digest();
             self.changed = true;
         }
         changes
     }
 
-    /// Members as users see them.
+    /// The public description of all visible members.
     pub(crate) fn members(&self, now: Micros) -> Vec<Member> {
-        let shown = |e: &Entry| e.standing != Standing::Left || now - e.since <= self.shown_left;
+        let shown = |e: &Entry| e.standing != Standing::Left || now - e.since <= self.left_visible_for;
         let entries = self.entries.iter().filter(|(_, e)| shown(e));
         let member = |(name, e): (&PeerName, &Entry)| Member {
             name: name.clone(),
@@ -256,18 +275,18 @@
         entries.map(member).collect()
     }
 
-    /// Whether anything changed since this was last asked.
+    /// Returns whether anything changed since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The digest of what is agreed, as of the last [`Roll::stand`].
+    /// Digest of the replicated state, as of the last [`MemberTable::refresh_standings`].
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Members that nobody has heard of are not in it, so that it says nothing of them.
-    fn digested(&self) -> u64 {
+    /// Members without a known life are not part of the digest.
+    fn compute_digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         for (name, entry) in &self.entries {
             let Some(record) = &entry.record else { continue };
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -1,10 +1,10 @@
-//! How two records of one member become one, and what a member makes of a word about itself.
+//! Merges two records of one member, and evaluates records that a member receives about itself.
 //!
 //! The order of records, greatest first: the later life (the incarnation; of two nonces under one incarnation the greater
-//! one, which nobody else can tell apart either); within a life, that it left; then the member's own counter; then, for
-//! members that say two things under one counter, leaving before not, and the greater holding. Of two equal in all that
-//! the witnesses are joined, the first [`MOST_WITNESSES`](crate::MOST_WITNESSES) of them. So the merge is the join of a
-//! chain with a bounded set on each of its links: commutative, associative, idempotent.
+//! one, because there is no other criterion); within a life, having left; then the member's own counter; then, for members
+//! that announce two states under one counter, leaving before not leaving, and the greater holding. Records equal in all
+//! of these join their witnesses, keeping the first [`MOST_WITNESSES`](crate::MOST_WITNESSES). So the merge is the join of
+//! a chain with a bounded set at each element: commutative, associative and idempotent.
 
 use std::cmp::Ordering;
 
@@ -28,22 +28,23 @@
     }
 }
 
-/// What a member makes of a record of itself.
+/// How a member responds to a received record of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfSelf {
-    /// Nothing that it would have to answer.
+    /// No response is needed.
     Known,
-    /// Somebody doubts it, or says for it what it has not said: this is its next word, above both.
+    /// A gateway suspects it, or reports a state that it never announced. This is its next update, which outranks both.
     Refuted(Record),
-    /// An operator has taken this life out. That stands: only a later life comes back.
+    /// An operator removed this life. This is final: only a later life can rejoin.
     Left(Record),
-    /// A life that it does not live. Not taken over: who comes back late learns it from the mesh and is renewed.
+    /// The record is of a later life than this one's. It is not adopted: a gateway that returns late is given its new life by the
+    /// peer mesh.
     NotMine,
-    /// A counter that it cannot have reached.
+    /// The record has a counter that this member cannot have reached.
     Impossible,
 }
 
-/// What a member that holds `mine` of itself makes of `theirs`.
+/// Decides how a member whose own record is `mine` responds to the received record `theirs`.
 pub fn of_self(mine: &Record, theirs: &Record, plant: Plant) -> OfSelf {
     let lives = (mine.incarnation, mine.nonce).cmp(&(theirs.incarnation, theirs.nonce));
     match lives {
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,129 +1,137 @@
-//! Notes between gateways.
+//! Membership messages between gateways.
 
 use peer::PeerName;
 use peer::wire;
 use serde::{Deserialize, Serialize};
 
-use crate::record::Told;
-use crate::sights::NodeTold;
+use crate::node_table::EncodedNode;
+use crate::record::EncodedRecord;
 
-/// What a note is.
+/// The kind of a membership message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sort {
-    /// Answer with [`Sort::Ack`].
+pub(crate) enum MessageKind {
+    /// Requests a [`MessageKind::Ack`].
     Ping,
     Ack,
-    /// Ping `about` in place of the sender, which is told when it answers.
-    Ask,
-    /// `about` has answered.
-    Reached,
-    /// Something is new.
+    /// Asks the receiver to ping `subject` on behalf of the sender and to report an answer.
+    PingRequest,
+    /// Reports that `subject` answered an indirect ping.
+    IndirectAck,
+    /// Carries updates only.
     Gossip,
-    /// The digests of the whole view: whoever holds another one sends its view.
+    /// Carries the digests of the sender's view. A receiver with other digests replies with its full view.
     Compare,
-    /// A part of the whole view; `back` on its first part asks for the receiver's.
+    /// One page of a full view. `wants_reply` on the first page requests the receiver's full view.
     Page,
 }
 
-impl Sort {
-    const ALL: [Sort; 7] =
-        [Sort::Ping, Sort::Ack, Sort::Ask, Sort::Reached, Sort::Gossip, Sort::Compare, Sort::Page];
+impl MessageKind {
+    const ALL: [MessageKind; 7] = [
+        MessageKind::Ping,
+        MessageKind::Ack,
+        MessageKind::PingRequest,
+        MessageKind::IndirectAck,
+        MessageKind::Gossip,
+        MessageKind::Compare,
+        MessageKind::Page,
+    ];
 }
 
-/// One note as it is written.
+/// A message as it is encoded.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Note {
-    /// The sort: its place in [`Sort::ALL`], from 1.
+pub(crate) struct Message {
+    /// Position of the kind in [`MessageKind::ALL`], counted from 1.
     #[serde(rename = "t")]
-    pub(crate) sort: u8,
+    pub(crate) kind: u8,
     #[serde(rename = "s")]
     pub(crate) site: u64,
-    /// The sender's digest of members, and of nodes.
+    /// The sender's digest of its member table.
     #[serde(rename = "d", default)]
     pub(crate) digest: u64,
     #[serde(rename = "e", default)]
-    pub(crate) nodes_digest: u64,
-    /// Of a ping: the sender's number for it, which its answer repeats.
+    pub(crate) node_digest: u64,
+    /// Number that the sender gave a ping; the answer repeats it.
     #[serde(rename = "n", default)]
     pub(crate) number: i64,
-    /// Who is to be pinged, or was.
+    /// The member to ping, or the one that answered.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) about: Option<PeerName>,
-    /// For whom a ping is sent, with that one's number: its answer repeats it, so that the helper need not keep it.
+    pub(crate) subject: Option<PeerName>,
+    /// The requester of an indirect ping with its ping number. The answer repeats both, so the helper keeps no state.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) helped: Option<(PeerName, i64)>,
+    pub(crate) requester: Option<(PeerName, i64)>,
     #[serde(rename = "b", default)]
-    pub(crate) back: bool,
+    pub(crate) wants_reply: bool,
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) members: Vec<Told>,
+    pub(crate) members: Vec<EncodedRecord>,
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) nodes: Vec<NodeTold>,
+    pub(crate) nodes: Vec<EncodedNode>,
 }
 
-impl Note {
-    pub(crate) fn new(sort: Sort) -> Note {
-        let at = Sort::ALL.iter().position(|s| *s == sort).unwrap_or(0);
-        Note { sort: at as u8 + 1, ..Note::default() }
+impl Message {
+    pub(crate) fn new(kind: MessageKind) -> Message {
+        let at = MessageKind::ALL.iter().position(|s| *s == kind).unwrap_or(0);
+        Message { kind: at as u8 + 1, ..Message::default() }
     }
 
-    /// What it is; none for a sort of a later version.
-    pub(crate) fn sort(&self) -> Option<Sort> {
-        Sort::ALL.get(usize::from(self.sort).checked_sub(1)?).copied()
+    /// The message kind; `None` for a kind of a later version.
+    pub(crate) fn kind(&self) -> Option<MessageKind> {
+        MessageKind::ALL.get(usize::from(self.kind).checked_sub(1)?).copied()
     }
 
-    /// Reads a note; none if it is not one.
-    pub(crate) fn read(body: &[u8]) -> Option<Note> {
+    /// Decodes a message; `None` if the bytes are not one.
+    pub(crate) fn read(body: &[u8]) -> Option<Message> {
         wire::decode(body)
     }
 }
 
-/// A note that is filled up to a bound.
-pub(crate) struct Filling {
-    pub(crate) note: Note,
-    room: usize,
+/// Builds a message up to a size limit.
+pub(crate) struct MessageBuilder {
+    pub(crate) message: Message,
+    remaining: usize,
 }
 
-impl Filling {
-    /// Bytes that the heads of both lists may grow by.
-    const LISTS: usize = 16;
+impl MessageBuilder {
+    /// Bytes by which the encoded headers of both lists may grow.
+    const LIST_HEADER_BYTES: usize = 16;
 
-    pub(crate) fn new(note: Note, most: usize) -> Filling {
-        let room = most.saturating_sub(wire::encode(&note).len() + Filling::LISTS);
-        Filling { note, room }
+    pub(crate) fn new(message: Message, max_body: usize) -> MessageBuilder {
+        let remaining =
+            max_body.saturating_sub(wire::encode(&message).len() + MessageBuilder::LIST_HEADER_BYTES);
+        MessageBuilder { message, remaining }
     }
 
-    fn takes<T: Serialize>(&mut self, item: &T) -> bool {
+    fn reserve<T: Serialize>(&mut self, item: &T) -> bool {
         let size = wire::encode(item).len();
-        let fits = size <= self.room;
+        let fits = size <= self.remaining;
         if fits {
-            self.room -= size;
+            self.remaining -= size;
         }
         fits
     }
 
-    /// Whether the record fitted in.
-    pub(crate) fn member(&mut self, told: Told) -> bool {
-        // Only the first, the receiver's own, is put in out of its turn.
-        if self.note.members.first().is_some_and(|m| m.name == told.name) {
+    /// Adds a member's record; returns whether it fitted.
+    pub(crate) fn add_member(&mut self, encoded: EncodedRecord) -> bool {
+        // Only the first record, the receiver's own, is added ahead of the queue and may come up again.
+        if self.message.members.first().is_some_and(|m| m.name == encoded.name) {
             return true;
         }
-        let fits = self.takes(&told);
+        let fits = self.reserve(&encoded);
         if fits {
-            self.note.members.push(told);
+            self.message.members.push(encoded);
         }
         fits
     }
 
-    /// Whether the node's fact fitted in.
-    pub(crate) fn node(&mut self, told: NodeTold) -> bool {
-        let fits = self.takes(&told);
+    /// Adds a node; returns whether it fitted.
+    pub(crate) fn add_node(&mut self, encoded: EncodedNode) -> bool {
+        let fits = self.reserve(&encoded);
         if fits {
-            self.note.nodes.push(told);
+            self.message.nodes.push(encoded);
         }
         fits
     }
 
     pub(crate) fn body(&self) -> Vec<u8> {
-        wire::encode(&self.note)
+        wire::encode(&self.message)
     }
 }
--- a/crates/fleet/src/options.rs
+++ b/crates/fleet/src/options.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told about its fleet.
+//! Options of fleet membership.
 
 use peer::PeerName;
 
@@ -11,31 +11,31 @@
     pub name: PeerName,
     /// Its zone.
     pub zone: u32,
-    /// The site: a note of another one is turned away.
+    /// The site; messages of other sites are rejected.
     pub site: u64,
-    /// All members that the site file names, this one included, with their zones.
+    /// All members of the site file with their zones, including this gateway.
     pub members: Vec<(PeerName, u32)>,
-    /// One period of probing; everything else is counted in it.
+    /// Probe period; the unit of all other intervals.
     pub period: Micros,
-    /// Peers asked to probe in place of this one.
+    /// Number of peers asked to probe indirectly.
     pub indirect: usize,
-    /// Peers that gossip goes to in a period.
+    /// Number of peers that receive gossip in a period.
     pub fanout: usize,
-    /// Suspicion lasts from the longest to the shortest, in periods, as witnesses add up.
+    /// Longest and shortest suspicion timeout in periods; it shrinks as witnesses add up.
     pub suspicion: (u32, u32),
-    /// Every so many periods, drawn, a whole view is exchanged with one peer.
+    /// Mean number of periods between full view comparisons with a random peer.
     pub exchange: u32,
-    /// Nodes that are held at most.
+    /// Maximum number of nodes.
     pub most_nodes: usize,
-    /// Bytes of one note's body at most, either way.
+    /// Maximum bytes of a message body, sent or received.
     pub most_body: usize,
-    /// A planted mistake; for tests.
+    /// An injected fault, for tests.
     pub plant: Plant,
 }
 
 impl FleetOptions {
-    /// Defaults: a period of a second, three peers for gossip and for indirect probes, suspicion of
-    /// `2 (3 + log2 n)` down to `3 + log2 n` periods, an exchange every ten periods.
+    /// Defaults: a period of a second, three peers for gossip and for indirect probes, suspicion
+    /// timeouts from `2 (3 + log2 n)` down to `3 + log2 n` periods, and a view comparison every ten periods.
     pub fn new(name: PeerName, zone: u32, site: u64, members: Vec<(PeerName, u32)>) -> Self {
         let shortest = 3 + log2(members.len());
         FleetOptions {
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Periods within which all that reach each other hold one view after the last fault, as docs/fleet/view.md derives it:
-    /// the longest suspicion twice (one that is refuted too late is seen anew), six probes in a row of four and a half
-    /// periods, two rounds of gossip there and back, and two draws of an exchange.
+    /// Periods after the last fault within which all gateways that reach each other converge on one view. docs/fleet/view.md
+    /// derives it: twice the longest suspicion (one that is refuted too late starts again), six probes in a row of four
+    /// and a half periods, two rounds of gossip in each direction, and two intervals between view comparisons.
     pub fn settling(&self) -> u32 {
         2 * self.suspicion.0.max(self.suspicion.1) + 27 + 4 * log2(self.members.len()) + 2 * self.exchange
     }
@@ -67,20 +67,20 @@
     n.max(1).next_power_of_two().trailing_zeros()
 }
 
-/// Mistakes that can be planted, so that a test shows that it would see them.
+/// Faults that tests inject to show that their checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Plant {
-    /// None: what every user wants.
+    /// No fault; the only value for production use.
     #[default]
     None,
     /// A member does not answer a suspicion of itself.
     RefutationForgotten,
-    /// An old copy in which a member is up wins over a later life of it.
+    /// A stale record without suspicion overrides a later life.
     OldLifeRevives,
-    /// Nothing is kept of a member that left, so that an old copy brings it back.
+    /// The record of a member that left is dropped, so a stale copy revives it.
     LeftForgotten,
-    /// What came last wins.
+    /// The record that arrived last wins.
     MergeByArrival,
-    /// A gateway that was stopped takes the silence that followed for the others'.
+    /// A gateway that was paused blames the silence during its pause on the others.
     SelfTrusted,
 }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,4 +1,4 @@
-//! What is said of one member from gateway to gateway.
+//! The replicated record of one member and its encoding.
 
 use std::collections::BTreeSet;
 
@@ -7,15 +7,15 @@
 
 use crate::holding::Holding;
 
-/// Witnesses of a suspicion that are kept: those whose names come first. More would not shorten it.
+/// Maximum witnesses kept for a suspicion, the first by name. More would not shorten the suspicion.
 pub const MOST_WITNESSES: usize = 4;
-/// The highest incarnation and the highest counter that are taken from anybody.
+/// The highest incarnation and counter accepted from any gateway.
 pub const MOST_NUMBER: u64 = 1 << 48;
-/// How far another's word may put a member's incarnation or counter beyond what is known of it.
+/// How far another gateway's message may advance a member's incarnation or counter beyond the known value.
 pub const MOST_JUMP: u64 = 1 << 20;
 
-/// What is known of one life of a member. Records of one member form a join semilattice, see [`crate::merge`]. The
-/// member's zone is not said: it is the site file's.
+/// What is known about one life of a member. Records of one member form a join semilattice, see [`crate::merge()`]. The
+/// zone is not part of it, because the site file defines it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Record {
     pub(crate) incarnation: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Record {
-    /// The least that is known of a member in this life: that it has begun.
+    /// The least record of a life: only that it began.
     pub fn new(life: Life) -> Record {
         Record {
             incarnation: life.incarnation.0,
@@ -41,33 +41,33 @@
         }
     }
 
-    /// The member has left for good in this life: the greatest record of it. This is all that is ever kept of it, and it is
-    /// kept as long as the site file names the member, so that no old copy brings it back.
+    /// The greatest record of a life: the member left for good. Nothing else is kept of that life, and this is kept as long as
+    /// the site file names the member, so that no stale copy revives it.
     pub fn left(life: Life) -> Record {
         Record { left: true, ..Record::new(life) }
     }
 
-    /// Which life it is about.
+    /// The life that this record describes.
     pub fn life(&self) -> Life {
         Life { incarnation: Incarnation(self.incarnation), nonce: Nonce(self.nonce) }
     }
 
-    /// Whether it has left in this life.
+    /// Whether the member left in this life.
     pub fn has_left(&self) -> bool {
         self.left
     }
 
-    /// The member's own counter.
+    /// Counter of the member's own updates.
     pub fn counter(&self) -> u64 {
         self.own
     }
 
-    /// Who says that they cannot reach it.
+    /// Gateways that report that they cannot reach it.
     pub fn witnesses(&self) -> &BTreeSet<PeerName> {
         &self.witnesses
     }
 
-    /// The same with one more who cannot reach it.
+    /// Copy of the record with one more witness of a suspicion.
     #[must_use]
     pub fn doubted_by(&self, witness: &PeerName) -> Record {
         let mut record = self.clone();
@@ -80,7 +80,7 @@
         record
     }
 
-    /// The member's next word: with this holding, leaving or not, and nobody's doubt.
+    /// The member's next own update, which clears all suspicions.
     #[must_use]
     pub fn said(&self, holding: Holding, leaving: bool) -> Record {
         if self.left {
@@ -90,15 +90,15 @@
         Record { own, leaving, holding, witnesses: BTreeSet::new(), ..self.clone() }
     }
 
-    /// What orders two records of one member; the witnesses are joined where it is the same.
+    /// Orders two records of one member. Witnesses of records with equal rank are joined.
     pub(crate) fn rank(&self) -> (u64, u64, bool, u64, bool, &Holding) {
         (self.incarnation, self.nonce, self.left, self.own, self.leaving, &self.holding)
     }
 }
 
-/// A record as it is written, with its member's name.
+/// The encoded record of a named member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct EncodedRecord {
     #[serde(rename = "n")]
     pub(crate) name: PeerName,
     #[serde(rename = "i")]
@@ -121,19 +121,19 @@
     !*value
 }
 
-impl Told {
-    pub(crate) fn of(name: &PeerName, record: &Record) -> Told {
+impl EncodedRecord {
+    pub(crate) fn of(name: &PeerName, record: &Record) -> EncodedRecord {
         let Record { incarnation, nonce, left, own, leaving, holding, witnesses } = record.clone();
-        Told { name: name.clone(), incarnation, nonce, left, own, leaving, holding, witnesses }
+        EncodedRecord { name: name.clone(), incarnation, nonce, left, own, leaving, holding, witnesses }
     }
 
-    /// The record; one that left is taken without the rest, so that its greatest form is one.
+    /// Decodes the record. A record that left drops all other fields, so that its greatest form is unique.
     pub(crate) fn record(self) -> Record {
         let life = Life { incarnation: Incarnation(self.incarnation), nonce: Nonce(self.nonce) };
         if self.left {
             return Record::left(life);
         }
-        let Told { own, leaving, holding, witnesses, .. } = self;
+        let EncodedRecord { own, leaving, holding, witnesses, .. } = self;
         Record { own, leaving, holding, witnesses, ..Record::new(life) }
     }
 }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lifecycle.rs
@@ -1,38 +1,38 @@
-//! Troubles of members: stopped, killed, started anew, leaving.
+//! Member lifecycle: pause, failure, restart, leaving and removal.
 
 mod net;
 
 use fleet::{Input, Plant, Presence, Standing};
-use net::{Net, PERIOD, life, name};
+use net::{PERIOD, SimulatedNetwork, life, name};
 
 const COUNT: usize = 12;
 
-fn settled(count: usize, seed: u64, plant: Plant) -> Net {
-    let mut net = Net::new(count, seed);
-    net.plant = plant;
+fn converged(count: usize, seed: u64, injected_fault: Plant) -> SimulatedNetwork {
+    let mut net = SimulatedNetwork::new(count, seed);
+    net.injected_fault = injected_fault;
     net.start_all();
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("a fleet that starts settles");
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("a fleet that starts settles");
     net
 }
 
-fn without(net: &Net, gone: &[usize]) -> Vec<usize> {
+fn without(net: &SimulatedNetwork, gone: &[usize]) -> Vec<usize> {
     net.all().into_iter().filter(|at| !gone.contains(at)).collect()
 }
 
 #[test]
-fn all_start_at_once_at_any_size() {
+fn fleets_of_any_size_converge_after_simultaneous_start() {
     for count in [1, 2, 3, 12, 40] {
-        settled(count, 1, Plant::None);
+        converged(count, 1, Plant::None);
     }
 }
 
 #[test]
-fn members_that_nobody_has_seen_are_joining_and_never_up() {
-    let mut net = Net::new(5, 2);
+fn unseen_members_are_joining_and_never_up() {
+    let mut net = SimulatedNetwork::new(5, 2);
     (0..3).for_each(|at| net.start(at));
-    let bound = net.bound();
-    net.settle(&[0, 1, 2], bound).expect("those that run settle");
+    let bound = net.convergence_bound();
+    net.converge(&[0, 1, 2], bound).expect("those that run settle");
     let view = net.view(0).expect("it runs");
     let absent = view.member(&name(4)).expect("the site file names it");
     assert_eq!((absent.standing, absent.life), (Standing::Joining, None));
@@ -41,19 +41,19 @@
     net.start(3);
     net.start(4);
     let all = net.all();
-    net.settle(&all, bound).expect("the late ones join");
+    net.converge(&all, bound).expect("the late ones join");
 }
 
 #[test]
-fn a_stopped_member_doubts_nobody_when_it_goes_on() {
+fn paused_member_suspects_nobody_when_it_resumes() {
     for (tenths, seed) in [(2, 3), (9, 4), (30, 5), (120, 6), (300, 7)] {
-        let mut net = settled(COUNT, seed, Plant::None);
+        let mut net = converged(COUNT, seed, Plant::None);
         let rest = without(&net, &[4]);
-        net.healthy = rest.iter().copied().collect();
+        net.protected = rest.iter().copied().collect();
         net.freeze(4, tenths * PERIOD / 10);
         net.run(tenths * PERIOD / 10 + 1);
-        let (all, bound) = (net.all(), net.bound());
-        net.settle(&all, bound).expect("it settles when the member goes on");
+        let (all, bound) = (net.all(), net.convergence_bound());
+        net.converge(&all, bound).expect("it settles when the member goes on");
         net.run(20 * PERIOD);
         assert_eq!(net.expelled, []);
         assert_eq!(net.counts(4).suspicions, 0, "stopped for {tenths} tenths of a period");
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn a_killed_member_is_unreachable_and_never_left_and_its_next_life_is_up() {
-    let mut net = settled(COUNT, 8, Plant::None);
+fn killed_member_is_unreachable_until_its_next_life() {
+    let mut net = converged(COUNT, 8, Plant::None);
     net.kill(3);
-    let (rest, bound) = (without(&net, &[3]), net.bound());
-    net.settle(&rest, bound).expect("the rest settles");
+    let (rest, bound) = (without(&net, &[3]), net.convergence_bound());
+    net.converge(&rest, bound).expect("the rest settles");
     for at in &rest {
         let view = net.view(*at).expect("it runs");
         assert_eq!(view.member(&name(3)).map(|m| m.standing), Some(Standing::Unreachable));
@@ -75,62 +75,62 @@
     }
     net.start(3);
     let all = net.all();
-    net.settle(&all, bound).expect("the next life is up");
+    net.converge(&all, bound).expect("the next life is up");
     assert_eq!(net.view(0).and_then(|v| v.member(&name(3))?.life), Some(life(2)));
 }
 
 #[test]
-fn a_next_life_is_up_before_anybody_missed_the_last() {
-    let mut net = settled(COUNT, 9, Plant::None);
-    net.healthy = without(&net, &[3]).into_iter().collect();
+fn quick_restart_is_not_detected_as_failure() {
+    let mut net = converged(COUNT, 9, Plant::None);
+    net.protected = without(&net, &[3]).into_iter().collect();
     net.kill(3);
     net.run(PERIOD / 2);
     net.start(3);
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("the next life is up");
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("the next life is up");
     assert_eq!(net.expelled, []);
 }
 
 #[test]
-fn a_fleet_restarted_a_tenth_at_a_time_stays_whole() {
+fn rolling_restart_expels_no_running_member() {
     let count = 20;
-    let mut net = settled(count, 10, Plant::None);
+    let mut net = converged(count, 10, Plant::None);
     for first in (0..count).step_by(2) {
         net.kill(first);
         net.kill(first + 1);
-        net.healthy = without(&net, &[first, first + 1]).into_iter().collect();
+        net.protected = without(&net, &[first, first + 1]).into_iter().collect();
         net.run(3 * PERIOD);
         net.start(first);
         net.start(first + 1);
         net.run(5 * PERIOD);
     }
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("all are back");
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("all are back");
     assert_eq!(net.expelled, []);
 }
 
 #[test]
-fn a_fleet_whose_power_went_comes_back_whole_in_later_lives() {
-    let mut net = settled(COUNT, 11, Plant::None);
+fn fleet_converges_after_restart_of_all_members() {
+    let mut net = converged(COUNT, 11, Plant::None);
     (0..COUNT).for_each(|at| net.kill(at));
     net.run(30 * PERIOD);
     net.start_all();
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("all are back");
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("all are back");
 }
 
 #[test]
-fn most_of_a_fleet_dies_and_the_rest_finds_out() {
-    let mut net = settled(COUNT, 12, Plant::None);
+fn survivors_detect_failure_of_most_members() {
+    let mut net = converged(COUNT, 12, Plant::None);
     (3..COUNT).for_each(|at| net.kill(at));
-    let bound = net.bound();
-    net.settle(&[0, 1, 2], bound).expect("the rest settles");
+    let bound = net.convergence_bound();
+    net.converge(&[0, 1, 2], bound).expect("the rest settles");
 }
 
-/// A member leaves while another is cut off, which comes back long after with its old copy.
-fn leaves(plant: Plant) -> Result<(), String> {
-    let mut net = settled(6, 13, plant);
-    net.part(&[5], &[0, 1, 2, 3, 4]);
+/// A member leaves while another is partitioned; that one reconnects much later with a stale record.
+fn leave_during_partition(injected_fault: Plant) -> Result<(), String> {
+    let mut net = converged(6, 13, injected_fault);
+    net.partition(&[5], &[0, 1, 2, 3, 4]);
     net.run(3 * PERIOD);
     net.input(2, Input::Leave);
     net.run(PERIOD);
@@ -145,8 +145,8 @@
         return Err("a member that left is back before anybody spoke of it".to_owned());
     }
     net.heal();
-    let bound = net.bound();
-    net.settle(&[0, 1, 3, 4, 5], bound)?;
+    let bound = net.convergence_bound();
+    net.converge(&[0, 1, 3, 4, 5], bound)?;
     for at in [0, 1, 3, 4, 5] {
         let view = net.view(at).ok_or("it runs")?;
         if view.presence(&name(2)) != Presence::Not {
@@ -155,26 +155,26 @@
     }
     net.start(2);
     let all = net.all();
-    net.settle(&all, bound).map(|_| ())
+    net.converge(&all, bound).map(|_| ())
 }
 
 #[test]
-fn who_left_comes_back_by_a_later_life_and_by_no_old_copy() {
-    assert_eq!(leaves(Plant::None), Ok(()));
+fn member_that_left_returns_only_in_a_later_life() {
+    assert_eq!(leave_during_partition(Plant::None), Ok(()));
 }
 
 #[test]
-fn a_left_that_is_forgotten_too_soon_is_caught() {
-    let why = leaves(Plant::LeftForgotten).expect_err("the old copy revives it");
+fn forgotten_left_record_is_detected() {
+    let why = leave_during_partition(Plant::LeftForgotten).expect_err("the old copy revives it");
     assert!(why.contains("revived") || why.contains("is back") || why.contains("holds 2 for"), "{why}");
 }
 
 #[test]
-fn an_operator_takes_out_a_member_that_is_gone_and_its_later_life_returns() {
-    let mut net = settled(COUNT, 14, Plant::None);
+fn operator_removes_a_member_and_its_later_life_rejoins() {
+    let mut net = converged(COUNT, 14, Plant::None);
     net.kill(6);
-    let (rest, bound) = (without(&net, &[6]), net.bound());
-    net.settle(&rest, bound).expect("the rest settles");
+    let (rest, bound) = (without(&net, &[6]), net.convergence_bound());
+    net.converge(&rest, bound).expect("the rest settles");
     net.input(0, Input::Left(name(6), life(1)));
     net.run(20 * PERIOD);
     for at in &rest {
@@ -184,19 +184,19 @@
     assert!(net.view(0).is_some_and(|v| v.member(&name(6)).is_none()), "it is shown for ever");
     net.start(6);
     let all = net.all();
-    net.settle(&all, bound).expect("its later life is up");
+    net.converge(&all, bound).expect("its later life is up");
 }
 
 #[test]
-fn a_member_goes_on_in_another_life_and_keeps_its_holding() {
-    let mut net = settled(COUNT, 15, Plant::None);
+fn member_keeps_its_holding_in_a_new_life() {
+    let mut net = converged(COUNT, 15, Plant::None);
     let holding = fleet::Holding { volumes: vec![9, 3, 3], cap: 4, candidate: 5 };
     net.input(1, Input::Hold(holding));
     net.run(15 * PERIOD);
     net.hosts[1].life = 7;
     net.input(1, Input::Renewed(life(7)));
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("the life is known");
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("the life is known");
     let view = net.view(8).expect("it runs");
     assert_eq!(view.sharing_volume(9).map(|m| &m.name).collect::<Vec<_>>(), [&name(1)]);
     assert_eq!(view.member(&name(1)).map(|m| m.holding.volumes.clone()), Some(vec![3, 9]));
--- a/crates/fleet/tests/laws.rs
+++ b/crates/fleet/tests/merge_laws.rs
@@ -1,4 +1,4 @@
-//! The merge is the join of a semilattice, and words win as they should.
+//! The merge is the join of a semilattice and respects the order of lives and counters.
 
 use fleet::{Holding, Life, MOST_JUMP, MOST_WITNESSES, OfSelf, PeerName, Plant, Record, merge, of_self};
 use peer::{Incarnation, Nonce};
@@ -23,7 +23,7 @@
     )
 }
 
-fn laws(a: &Record, b: &Record, c: &Record, plant: Plant) -> Result<(), String> {
+fn check_laws(a: &Record, b: &Record, c: &Record, plant: Plant) -> Result<(), String> {
     let join = |x: &Record, y: &Record| merge(x, y, plant);
     if join(a, b) != join(b, a) {
         return Err(format!("not commutative: {a:?}, {b:?}"));
@@ -39,12 +39,12 @@
 
 proptest! {
     #[test]
-    fn the_merge_is_a_join(a in record(), b in record(), c in record()) {
-        prop_assert_eq!(laws(&a, &b, &c, Plant::None), Ok(()));
+    fn merge_is_a_join(a in record(), b in record(), c in record()) {
+        prop_assert_eq!(check_laws(&a, &b, &c, Plant::None), Ok(()));
     }
 
     #[test]
-    fn the_later_life_wins_and_within_it_the_members_word(a in record(), b in record()) {
+    fn later_life_then_higher_counter_wins(a in record(), b in record()) {
         let joined = merge(&a, &b, Plant::None);
         let (la, lb) = (a.life(), b.life());
         prop_assert_eq!(joined.life().incarnation, la.incarnation.max(lb.incarnation));
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn a_member_answers_each_doubt_above_it_and_no_life_but_its_own(theirs in record(), holding in holding()) {
+    fn member_refutes_suspicions_of_its_own_life_only(theirs in record(), holding in holding()) {
         let own = Life { incarnation: Incarnation(1), nonce: Nonce(1) };
         let mine = Record::new(own).said(holding, false);
         match of_self(&mine, &theirs, Plant::None) {
@@ -84,21 +84,21 @@
     }
 }
 
-/// Whether drawn records break the laws with this mistake.
-fn is_caught(plant: Plant) -> bool {
+/// Whether random records break the laws with this injected fault.
+fn breaks_laws(plant: Plant) -> bool {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
-    let kept = runner.run(&(record(), record(), record()), |(a, b, c)| {
-        laws(&a, &b, &c, plant).map_err(proptest::test_runner::TestCaseError::fail)
+    let result = runner.run(&(record(), record(), record()), |(a, b, c)| {
+        check_laws(&a, &b, &c, plant).map_err(proptest::test_runner::TestCaseError::fail)
     });
-    kept.is_err()
+    result.is_err()
 }
 
 #[test]
-fn a_merge_by_arrival_is_caught_by_the_laws() {
-    assert!(is_caught(Plant::MergeByArrival));
+fn merge_by_arrival_breaks_the_merge_laws() {
+    assert!(breaks_laws(Plant::MergeByArrival));
 }
 
 #[test]
-fn an_old_life_that_revives_is_caught_by_the_laws() {
-    assert!(is_caught(Plant::OldLifeRevives));
+fn revived_old_life_breaks_the_merge_laws() {
+    assert!(breaks_laws(Plant::OldLifeRevives));
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,4 +1,5 @@
-//! All orders of a small fleet: three members, first in two halves, each record ever told delivered late, again, or never.
+//! Explores all orders in a fleet of three members that starts partitioned; every sent record may be delivered late,
+//! repeatedly or never.
 
 use std::collections::BTreeSet;
 
@@ -9,26 +10,26 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// What each holds of each; of itself first of all.
+    /// Each member's record of each member, itself included.
     views: [[Option<Record>; MEMBERS]; MEMBERS],
     lives: [u64; MEMBERS],
     left: [bool; MEMBERS],
-    /// Records that were told, by which side: any of them may still come, any number of times.
-    told: BTreeSet<(bool, usize, Record)>,
-    parted: bool,
-    doubts: u8,
-    starts: u8,
-    tells: u8,
-    /// A view has gone back behind what it held.
-    went_back: bool,
+    /// Sent records with the sending side. Any may still be delivered, any number of times.
+    sent: BTreeSet<(bool, usize, Record)>,
+    partitioned: bool,
+    suspicions: u8,
+    restarts: u8,
+    sends: u8,
+    /// A view fell back behind a former state.
+    regressed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Doubt { by: usize, of: usize },
-    Tell { by: usize, of: usize },
+    Suspect { by: usize, of: usize },
+    Send { by: usize, of: usize },
     Deliver { to: usize, side: bool, of: usize, record: Record },
-    StartAnew(usize),
+    Restart(usize),
     Leave(usize),
     Heal,
 }
@@ -36,9 +37,9 @@
 #[derive(Clone)]
 struct Fleet {
     plant: Plant,
-    doubts: u8,
-    starts: u8,
-    tells: u8,
+    suspicions: u8,
+    restarts: u8,
+    sends: u8,
 }
 
 fn name(at: usize) -> fleet::PeerName {
@@ -49,19 +50,19 @@
     fleet::Life { incarnation: peer::Incarnation(number), nonce: peer::Nonce(number) }
 }
 
-/// The first member is one half, the rest the other.
+/// The partition: the first member is on one side, the rest on the other.
 fn side(at: usize) -> bool {
     at == 0
 }
 
-/// What orders two records whatever their witnesses.
-fn is_behind(next: &Record, before: &Record) -> bool {
+/// Compares two records without their witnesses.
+fn is_older(next: &Record, before: &Record) -> bool {
     let key = |r: &Record| (r.life().incarnation, r.has_left(), r.counter());
     key(next) < key(before)
 }
 
 impl Fleet {
-    fn take(&self, state: &mut State, to: usize, of: usize, record: &Record) {
+    fn receive(&self, state: &mut State, to: usize, of: usize, record: &Record) {
         let mine = state.views[to][of].clone();
         let next = match (&mine, of == to) {
             (Some(mine), true) => match of_self(mine, record, self.plant) {
@@ -71,21 +72,21 @@
             (Some(mine), false) => merge(mine, record, self.plant),
             (None, _) => record.clone(),
         };
-        if mine.is_some_and(|mine| is_behind(&next, &mine)) {
-            state.went_back = true;
+        if mine.is_some_and(|mine| is_older(&next, &mine)) {
+            state.regressed = true;
         }
         state.views[to][of] = Some(next);
     }
 
-    /// Whether all come to hold the same, each running member undoubted, if from here on everything is told to everybody.
-    fn settles(&self, state: &State) -> bool {
+    /// Whether all views converge, with no running member suspected, if from here on all records reach all members.
+    fn converges(&self, state: &State) -> bool {
         let mut state = state.clone();
         for _ in 0..4 {
             for by in 0..MEMBERS {
                 for to in (0..MEMBERS).filter(|to| *to != by) {
                     for of in 0..MEMBERS {
                         if let Some(record) = state.views[by][of].clone() {
-                            self.take(&mut state, to, of, &record);
+                            self.receive(&mut state, to, of, &record);
                         }
                     }
                 }
@@ -93,12 +94,13 @@
         }
         let views = &state.views;
         (0..MEMBERS).all(|of| {
-            let right = |r: &Record| {
+            let is_correct = |r: &Record| {
                 r.has_left() == state.left[of]
                     && r.life() == life(state.lives[of])
                     && (r.has_left() || r.witnesses().is_empty())
             };
-            (0..MEMBERS).all(|at| views[at][of] == views[of][of]) && views[of][of].as_ref().is_some_and(right)
+            (0..MEMBERS).all(|at| views[at][of] == views[of][of])
+                && views[of][of].as_ref().is_some_and(is_correct)
         })
     }
 }
@@ -113,34 +115,34 @@
             views,
             lives: [1; MEMBERS],
             left: [false; MEMBERS],
-            told: BTreeSet::new(),
-            parted: true,
-            doubts: 0,
-            starts: 0,
-            tells: 0,
-            went_back: false,
+            sent: BTreeSet::new(),
+            partitioned: true,
+            suspicions: 0,
+            restarts: 0,
+            sends: 0,
+            regressed: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.parted {
+        if state.partitioned {
             actions.push(Action::Heal);
         }
         for by in 0..MEMBERS {
             for of in 0..MEMBERS {
-                if by != of && state.doubts < self.doubts {
-                    actions.push(Action::Doubt { by, of });
+                if by != of && state.suspicions < self.suspicions {
+                    actions.push(Action::Suspect { by, of });
                 }
-                if state.tells < self.tells {
-                    actions.push(Action::Tell { by, of });
+                if state.sends < self.sends {
+                    actions.push(Action::Send { by, of });
                 }
             }
         }
-        if state.starts < self.starts {
-            actions.extend([Action::StartAnew(0), Action::Leave(1)]);
+        if state.restarts < self.restarts {
+            actions.extend([Action::Restart(0), Action::Leave(1)]);
         }
-        for (side_of, of, record) in &state.told {
-            for to in (0..MEMBERS).filter(|to| !state.parted || side(*to) == *side_of) {
+        for (side_of, of, record) in &state.sent {
+            for to in (0..MEMBERS).filter(|to| !state.partitioned || side(*to) == *side_of) {
                 actions.push(Action::Deliver { to, side: *side_of, of: *of, record: record.clone() });
             }
         }
@@ -149,40 +151,40 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Doubt { by, of } => {
+            Action::Suspect { by, of } => {
                 let record = state.views[by][of].as_ref()?.doubted_by(&name(by));
-                state.doubts += 1;
+                state.suspicions += 1;
                 state.views[by][of] = Some(record);
             }
-            Action::Tell { by, of } => {
+            Action::Send { by, of } => {
                 let record = state.views[by][of].clone()?;
-                state.tells += 1;
-                state.told.insert((side(by), of, record));
+                state.sends += 1;
+                state.sent.insert((side(by), of, record));
             }
-            Action::Deliver { to, of, record, .. } => self.take(&mut state, to, of, &record),
-            Action::StartAnew(at) => {
-                state.starts += 1;
+            Action::Deliver { to, of, record, .. } => self.receive(&mut state, to, of, &record),
+            Action::Restart(at) => {
+                state.restarts += 1;
                 state.lives[at] += 1;
                 state.left[at] = false;
-                // It comes back with nothing but its own life.
+                // A restarted member knows only its own life.
                 state.views[at] = std::array::from_fn(|of| {
                     (of == at).then(|| Record::new(life(state.lives[at])).said(Holding::default(), false))
                 });
             }
             Action::Leave(at) => {
-                state.starts += 1;
+                state.restarts += 1;
                 state.left[at] = true;
                 state.views[at][at] = Some(Record::left(life(state.lives[at])));
             }
-            Action::Heal => state.parted = false,
+            Action::Heal => state.partitioned = false,
         }
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no view goes back", |_, state: &State| !state.went_back),
-            Property::always("nobody is put words into the mouth", |_, state: &State| {
+            Property::always("no view regresses", |_, state: &State| !state.regressed),
+            Property::always("nobody invents a member's update", |_, state: &State| {
                 (0..MEMBERS).all(|of| {
                     let own = state.views[of][of].as_ref();
                     (0..MEMBERS).filter_map(|at| state.views[at][of].as_ref()).all(|held| {
@@ -192,11 +194,11 @@
                     })
                 })
             }),
-            Property::always("from here all settle", |model: &Fleet, state: &State| {
-                state.parted || model.settles(state)
+            Property::always("all views converge from here", |model: &Fleet, state: &State| {
+                state.partitioned || model.converges(state)
             }),
-            Property::sometimes("a doubt was refuted", |_, state: &State| {
-                state.doubts > 0
+            Property::sometimes("a suspicion was refuted", |_, state: &State| {
+                state.suspicions > 0
                     && (0..MEMBERS).any(|at| {
                         let own = state.views[at][at].as_ref();
                         own.is_some_and(|r| r.counter() > 0 && state.lives[at] == 1)
@@ -207,37 +209,37 @@
 }
 
 fn check(plant: Plant, depth: usize) -> Vec<&'static str> {
-    let model = Fleet { plant, doubts: 2, starts: 1, tells: 3 };
+    let model = Fleet { plant, suspicions: 2, restarts: 1, sends: 3 };
     let checker = model.checker().target_max_depth(depth).spawn_bfs().join();
     println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
     let found = checker.discoveries();
-    assert_eq!(found.contains_key("a doubt was refuted"), plant != Plant::RefutationForgotten);
-    found.into_keys().filter(|name| *name != "a doubt was refuted").collect()
+    assert_eq!(found.contains_key("a suspicion was refuted"), plant != Plant::RefutationForgotten);
+    found.into_keys().filter(|name| *name != "a suspicion was refuted").collect()
 }
 
 #[test]
-fn in_all_orders_views_only_grow_and_settle() {
+fn views_grow_and_converge_in_all_bounded_orders() {
     assert_eq!(check(Plant::None, 7), [""; 0]);
 }
 
-/// All states there are: `cargo test --release -p fleet --test model -- --ignored --nocapture`.
+/// Explores the complete state space: `cargo test --release -p fleet --test model -- --ignored --nocapture`.
 #[test]
 #[ignore = "long in a debug build"]
-fn in_all_orders_to_the_end_views_only_grow_and_settle() {
+fn views_grow_and_converge_in_all_orders() {
     assert_eq!(check(Plant::None, 60), [""; 0]);
 }
 
 #[test]
-fn a_forgotten_refutation_is_caught_by_the_model() {
-    assert!(check(Plant::RefutationForgotten, 7).contains(&"from here all settle"));
+fn forgotten_refutation_fails_the_model() {
+    assert!(check(Plant::RefutationForgotten, 7).contains(&"all views converge from here"));
 }
 
 #[test]
-fn a_merge_by_arrival_is_caught_by_the_model() {
-    assert!(check(Plant::MergeByArrival, 7).contains(&"no view goes back"));
+fn merge_by_arrival_fails_the_model() {
+    assert!(check(Plant::MergeByArrival, 7).contains(&"no view regresses"));
 }
 
 #[test]
-fn an_old_life_that_revives_is_caught_by_the_model() {
-    assert!(check(Plant::OldLifeRevives, 7).contains(&"no view goes back"));
+fn revived_old_life_fails_the_model() {
+    assert!(check(Plant::OldLifeRevives, 7).contains(&"no view regresses"));
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! A little deterministic network in virtual time for fleets: loss, doubles, delays, cuts one way, links that flap,
-//! members that are stopped, killed and begin again. Shared by tests and examples.
+//! Deterministic network simulation in virtual time: message loss, duplicates, delays, one-way link failures, flapping
+//! links, and members that pause, fail and restart. Shared by tests and examples.
 
 #![allow(dead_code)]
 
@@ -29,7 +29,7 @@
     (0..count).map(|at| (name(at), at as u32 % 3)).collect()
 }
 
-/// A flapping link: up and down for so long, by turns, both ways.
+/// A flapping link: alternately up and down for these times, in both directions.
 #[derive(Clone, Copy, Debug)]
 pub struct Flap {
     pub up: Micros,
@@ -43,12 +43,12 @@
     pub frozen_until: Option<Micros>,
     due: Micros,
     backlog: Vec<(usize, Life, Vec<u8>)>,
-    /// Counts of lives that are over.
-    past: Vec<Counts>,
+    /// Counters of former lives.
+    former_counts: Vec<Counts>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Flight {
+struct InFlightMessage {
     at: Micros,
     number: u64,
     from: usize,
@@ -57,70 +57,71 @@
     body: Vec<u8>,
 }
 
-pub struct Net {
+pub struct SimulatedNetwork {
     pub now: Micros,
     pub rng: SmallRng,
     pub hosts: Vec<Host>,
-    flights: BinaryHeap<Reverse<Flight>>,
+    in_flight: BinaryHeap<Reverse<InFlightMessage>>,
     number: u64,
-    /// In thousandths.
-    pub loss: u32,
-    pub double: u32,
+    /// Probability of loss, in thousandths.
+    pub loss_permille: u32,
+    pub duplicate_permille: u32,
     pub delay: (Micros, Micros),
-    /// Directed links that carry nothing.
+    /// Failed links, each in one direction.
     pub cuts: BTreeSet<(usize, usize)>,
     pub flaps: BTreeMap<(usize, usize), Flap>,
-    /// What is added to all that comes from or goes to a host.
-    pub slow: BTreeMap<usize, Micros>,
-    /// Hosts that nobody among them may hold for unreachable.
-    pub healthy: BTreeSet<usize>,
-    /// Viewer, member and time.
+    /// Extra delay of all messages from or to a host.
+    pub extra_delay: BTreeMap<usize, Micros>,
+    /// Hosts that must not declare each other unreachable.
+    pub protected: BTreeSet<usize>,
+    /// Violations: viewer, member and time.
     pub expelled: Vec<(usize, usize, Micros)>,
-    pub turned: Vec<(usize, PeerName, &'static str)>,
-    pub adjust: fn(&mut FleetOptions),
-    pub plant: Plant,
-    /// Most notes that a host has sent within one of its periods, and the longest body.
-    pub most_notes: u64,
-    pub most_body: usize,
+    pub rejections: Vec<(usize, PeerName, &'static str)>,
+    pub adjust_options: fn(&mut FleetOptions),
+    pub injected_fault: Plant,
+    /// Maximum messages that a host sent within one period.
+    pub max_messages_per_period: u64,
+    /// The longest message body.
+    pub max_body_seen: usize,
     sent: BTreeMap<(usize, Micros), u64>,
 }
 
-impl Net {
-    pub fn new(count: usize, seed: u64) -> Net {
+impl SimulatedNetwork {
+    pub fn new(count: usize, seed: u64) -> SimulatedNetwork {
         let host = || Host {
             fleet: None,
             life: 0,
             frozen_until: None,
             due: 0,
             backlog: Vec::new(),
-            past: Vec::new(),
+            former_counts: Vec::new(),
         };
-        Net {
+        SimulatedNetwork {
             now: 5 * PERIOD,
             rng: SmallRng::seed_from_u64(seed),
             hosts: (0..count).map(|_| host()).collect(),
-            flights: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             number: 0,
-            loss: 0,
-            double: 0,
+            loss_permille: 0,
+            duplicate_permille: 0,
             delay: (MS / 5, 2 * MS),
             cuts: BTreeSet::new(),
             flaps: BTreeMap::new(),
-            slow: BTreeMap::new(),
-            healthy: BTreeSet::new(),
+            extra_delay: BTreeMap::new(),
+            protected: BTreeSet::new(),
             expelled: Vec::new(),
-            turned: Vec::new(),
-            adjust: |_| {},
-            plant: Plant::None,
-            most_notes: 0,
-            most_body: 0,
+            rejections: Vec::new(),
+            adjust_options: |_| {},
+            injected_fault: Plant::None,
+            max_messages_per_period: 0,
+            max_body_seen: 0,
             sent: BTreeMap::new(),
         }
     }
 
-    /// All start at once.
-    pub fn started(count: usize, seed: u64) -> Net {
-        let mut net = Net::new(count, seed);
+    /// Creates a network and starts all hosts at once.
+    pub fn started(count: usize, seed: u64) -> SimulatedNetwork {
+        let mut net = SimulatedNetwork::new(count, seed);
         net.start_all();
         net
     }
@@ -133,8 +134,8 @@
         let all = members(self.hosts.len());
         let mut options = FleetOptions::new(name(at), all[at].1, SITE, all);
         options.period = PERIOD;
-        options.plant = self.plant;
-        (self.adjust)(&mut options);
+        options.plant = self.injected_fault;
+        (self.adjust_options)(&mut options);
         options
     }
 
@@ -149,7 +150,7 @@
 
     pub fn kill(&mut self, at: usize) {
         let host = &mut self.hosts[at];
-        host.past.extend(host.fleet.take().map(|f| f.counts()));
+        host.former_counts.extend(host.fleet.take().map(|f| f.counts()));
         host.frozen_until = None;
         host.backlog.clear();
     }
@@ -158,29 +159,29 @@
         self.hosts[at].frozen_until = Some(self.now + time);
     }
 
-    pub fn cut(&mut self, from: &[usize], to: &[usize]) {
+    pub fn cut_one_way(&mut self, from: &[usize], to: &[usize]) {
         for a in from {
             self.cuts.extend(to.iter().filter(|b| a != *b).map(|b| (*a, *b)));
         }
     }
 
-    pub fn part(&mut self, one: &[usize], other: &[usize]) {
-        self.cut(one, other);
-        self.cut(other, one);
+    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
+        self.cut_one_way(one, other);
+        self.cut_one_way(other, one);
     }
 
-    /// Ends all faults of links and the freezes.
+    /// Ends all link faults and pauses.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.flaps.clear();
-        self.slow.clear();
-        (self.loss, self.double) = (0, 0);
+        self.extra_delay.clear();
+        (self.loss_permille, self.duplicate_permille) = (0, 0);
         for host in &mut self.hosts {
             host.frozen_until = host.frozen_until.map(|_| self.now);
         }
     }
 
-    fn passes(&self, from: usize, to: usize) -> bool {
+    fn link_is_up(&self, from: usize, to: usize) -> bool {
         if self.cuts.contains(&(from, to)) {
             return false;
         }
@@ -188,16 +189,16 @@
         flap.is_none_or(|f| self.now % (f.up + f.down) < f.up)
     }
 
-    fn carry(&mut self, from: usize, to: usize, life: u64, body: Vec<u8>) {
-        if !self.passes(from, to) || self.rng.random_range(0..1000) < self.loss {
+    fn transmit(&mut self, from: usize, to: usize, life: u64, body: Vec<u8>) {
+        if !self.link_is_up(from, to) || self.rng.random_range(0..1000) < self.loss_permille {
             return;
         }
-        let copies = if self.rng.random_range(0..1000) < self.double { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..1000) < self.duplicate_permille { 2 } else { 1 };
         for _ in 0..copies {
-            let extra = self.slow.get(&from).unwrap_or(&0) + self.slow.get(&to).unwrap_or(&0);
+            let extra = self.extra_delay.get(&from).unwrap_or(&0) + self.extra_delay.get(&to).unwrap_or(&0);
             let at = self.now + extra + self.rng.random_range(self.delay.0..=self.delay.1);
             self.number += 1;
-            self.flights.push(Reverse(Flight {
+            self.in_flight.push(Reverse(InFlightMessage {
                 at,
                 number: self.number,
                 from,
@@ -217,31 +218,31 @@
         for output in out {
             match output {
                 Output::Send { to, body } => {
-                    self.most_body = self.most_body.max(body.len());
+                    self.max_body_seen = self.max_body_seen.max(body.len());
                     let sent = self.sent.entry((at, self.now / PERIOD)).or_default();
                     *sent += 1;
-                    self.most_notes = self.most_notes.max(*sent);
+                    self.max_messages_per_period = self.max_messages_per_period.max(*sent);
                     let to = to.0[3..].parse().expect("a name of ours");
-                    self.carry(at, to, life, body);
+                    self.transmit(at, to, life, body);
                 }
-                Output::Changed(view) => self.watch(at, &view),
-                Output::TurnedAway { from, why } => self.turned.push((at, from, why)),
+                Output::Changed(view) => self.record_expulsions(at, &view),
+                Output::TurnedAway { from, why } => self.rejections.push((at, from, why)),
             }
         }
     }
 
-    fn watch(&mut self, at: usize, view: &View) {
-        if !self.healthy.contains(&at) {
+    fn record_expulsions(&mut self, at: usize, view: &View) {
+        if !self.protected.contains(&at) {
             return;
         }
-        for member in &self.healthy {
+        for member in &self.protected {
             if view.member(&name(*member)).is_some_and(|m| m.standing == Standing::Unreachable) {
                 self.expelled.push((at, *member, self.now));
             }
         }
     }
 
-    /// Does the next thing that happens, if it is before `until`; whether it did.
+    /// Processes the next event before `until`; returns whether there was one.
     fn step(&mut self, until: Micros) -> bool {
         let mut next: Option<(Micros, usize)> = None;
         for (at, host) in self.hosts.iter().enumerate() {
@@ -253,25 +254,25 @@
                 next = Some((due, at));
             }
         }
-        let flight = self.flights.peek().map(|f| f.0.at.max(self.now));
+        let message = self.in_flight.peek().map(|f| f.0.at.max(self.now));
         let due = next.map(|(due, _)| due);
-        let Some(first) = flight.into_iter().chain(due).min().filter(|at| *at < until) else {
+        let Some(first) = message.into_iter().chain(due).min().filter(|at| *at < until) else {
             self.now = until;
             return false;
         };
         self.now = first;
-        if flight == Some(first) {
-            let Some(Reverse(flight)) = self.flights.pop() else { return true };
-            let Flight { from, to, body, .. } = flight;
+        if message == Some(first) {
+            let Some(Reverse(message)) = self.in_flight.pop() else { return true };
+            let InFlightMessage { from, to, body, .. } = message;
             let host = &mut self.hosts[to];
             if host.frozen_until.is_some() {
-                host.backlog.push((from, life(flight.life), body));
+                host.backlog.push((from, life(message.life), body));
             } else {
-                self.input(to, Input::Heard { from: name(from), life: life(flight.life), body });
+                self.input(to, Input::Heard { from: name(from), life: life(message.life), body });
             }
         } else if let Some((_, at)) = next {
             let stopped = self.hosts[at].frozen_until.take().is_some();
-            // The worst order: its own clock is told before what came meanwhile.
+            // The worst order: the clock tick comes before the messages that arrived during the pause.
             self.input(at, Input::Tick);
             if stopped {
                 for (from, life, body) in std::mem::take(&mut self.hosts[at].backlog) {
@@ -295,18 +296,19 @@
         self.hosts[at].fleet.as_ref().map(Fleet::counts).unwrap_or_default()
     }
 
-    /// Sum of something over all hosts and their lives.
+    /// Sum of a counter over all hosts and all their lives.
     pub fn sum(&self, of: fn(&Counts) -> u64) -> u64 {
         let now = self.hosts.iter().filter_map(|h| h.fleet.as_ref()).map(|f| of(&f.counts()));
-        now.sum::<u64>() + self.hosts.iter().flat_map(|h| &h.past).map(of).sum::<u64>()
+        now.sum::<u64>() + self.hosts.iter().flat_map(|h| &h.former_counts).map(of).sum::<u64>()
     }
 
     pub fn running(&self) -> Vec<usize> {
         (0..self.hosts.len()).filter(|at| self.hosts[*at].fleet.is_some()).collect()
     }
 
-    /// What is not settled among these: they hold one digest, each other as up in their lives, and nobody else as up.
-    pub fn unsettled(&self, among: &[usize]) -> Option<String> {
+    /// Describes why these hosts have not converged. Converged hosts have one digest, see each other as up in their current
+    /// lives, and see nobody else as up.
+    pub fn convergence_failure(&self, among: &[usize]) -> Option<String> {
         let mut digest = None;
         for at in among {
             let Some(view) = self.view(*at) else { return Some(format!("{at} does not run")) };
@@ -331,21 +333,22 @@
         None
     }
 
-    /// Runs until these have settled; after how many periods, in thousandths. An error says what is not after the most.
-    pub fn settle(&mut self, among: &[usize], most: u32) -> Result<Micros, String> {
+    /// Runs until these hosts converge. Returns the time in thousandths of a period, or the difference left after `most`
+    /// periods.
+    pub fn converge(&mut self, among: &[usize], most: u32) -> Result<Micros, String> {
         let began = self.now;
         for _ in 0..most * 10 {
             self.run(PERIOD / 10);
-            if self.unsettled(among).is_none() {
+            if self.convergence_failure(among).is_none() {
                 return Ok((self.now - began) * 1000 / PERIOD);
             }
         }
-        let why = self.unsettled(among).unwrap_or_default();
+        let why = self.convergence_failure(among).unwrap_or_default();
         Err(format!("not settled after {most} periods: {why}"))
     }
 
-    /// Periods within which this fleet settles after its last fault.
-    pub fn bound(&self) -> u32 {
+    /// Periods within which this fleet converges after its last fault.
+    pub fn convergence_bound(&self) -> u32 {
         self.options(0).settling()
     }
 
@@ -353,7 +356,14 @@
         (0..self.hosts.len()).collect()
     }
 
-    pub fn saw(&mut self, at: usize, node: &str, started: i64, cold_for: Micros, silent_for: Micros) {
+    pub fn observe_node(
+        &mut self,
+        at: usize,
+        node: &str,
+        started: i64,
+        cold_for: Micros,
+        silent_for: Micros,
+    ) {
         let sight = NodeSight { node: node.to_owned(), started, cold_for, silent_for };
         self.input(at, Input::Saw(sight));
     }
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -1,20 +1,21 @@
-//! What gateways have seen of nodes: the later start wins, ages only shrink, a silence is its witness's to renew.
+//! Merging of node observations: the later start wins, the remaining warm-up never grows, and only its witness renews a
+//! report of silence.
 
 mod net;
 
-use net::{MS, Net, PERIOD, name};
+use net::{MS, PERIOD, SimulatedNetwork, name};
 
 const COUNT: usize = 6;
 
-fn settled(seed: u64) -> Net {
-    let mut net = Net::started(COUNT, seed);
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("it settles");
+fn converged(seed: u64) -> SimulatedNetwork {
+    let mut net = SimulatedNetwork::started(COUNT, seed);
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("it settles");
     net
 }
 
-fn fact(net: &Net, at: usize, node: &str) -> Option<fleet::NodeFact> {
-    // The age as of now, not as of the snapshot.
+fn fact(net: &SimulatedNetwork, at: usize, node: &str) -> Option<fleet::NodeFact> {
+    // Converts the remaining warm-up from the time of the snapshot to now.
     let view = net.view(at)?;
     let mut fact = view.nodes.iter().find(|n| n.node == node)?.clone();
     fact.cold_for = (fact.cold_for - (net.now - view.at)).max(0);
@@ -22,9 +23,9 @@
 }
 
 #[test]
-fn a_start_and_its_coldness_reach_all_and_the_later_start_wins() {
-    let mut net = settled(1);
-    net.saw(0, "n1", 100, 60 * PERIOD, 0);
+fn start_and_warm_up_propagate_and_later_start_wins() {
+    let mut net = converged(1);
+    net.observe_node(0, "n1", 100, 60 * PERIOD, 0);
     net.run(10 * PERIOD);
     for at in 0..COUNT {
         let seen = fact(&net, at, "n1").expect("it was told");
@@ -32,8 +33,8 @@
         let left = 50 * PERIOD;
         assert!((left - 100 * MS..=left + 100 * MS).contains(&seen.cold_for), "{} at {at}", seen.cold_for);
     }
-    net.saw(3, "n1", 200, 90 * PERIOD, 0);
-    net.saw(0, "n1", 100, 500 * PERIOD, 0);
+    net.observe_node(3, "n1", 200, 90 * PERIOD, 0);
+    net.observe_node(0, "n1", 100, 500 * PERIOD, 0);
     net.run(10 * PERIOD);
     for at in 0..COUNT {
         let seen = fact(&net, at, "n1").expect("it was told");
@@ -43,10 +44,10 @@
 }
 
 #[test]
-fn copies_that_come_late_and_twice_do_not_keep_a_node_cold() {
-    let mut net = settled(2);
-    (net.double, net.delay) = (500, (0, 3 * PERIOD));
-    net.saw(0, "n1", 100, 30 * PERIOD, 0);
+fn delayed_and_duplicate_messages_do_not_extend_warm_up() {
+    let mut net = converged(2);
+    (net.duplicate_permille, net.delay) = (500, (0, 3 * PERIOD));
+    net.observe_node(0, "n1", 100, 30 * PERIOD, 0);
     net.run(45 * PERIOD);
     for at in 0..COUNT {
         assert_eq!(fact(&net, at, "n1").map(|n| n.cold_for), Some(0), "at {at}");
@@ -54,16 +55,16 @@
 }
 
 #[test]
-fn a_silence_stands_while_its_witness_says_so_and_ends_with_it() {
-    let mut net = settled(3);
-    net.saw(1, "n1", 100, 0, PERIOD);
-    net.saw(2, "n1", 100, 0, PERIOD);
+fn silence_report_lasts_while_its_witness_renews_it() {
+    let mut net = converged(3);
+    net.observe_node(1, "n1", 100, 0, PERIOD);
+    net.observe_node(2, "n1", 100, 0, PERIOD);
     net.run(120 * PERIOD);
     for at in 0..COUNT {
         let silent = fact(&net, at, "n1").map(|n| n.silent_for);
         assert_eq!(silent, Some(vec![name(1), name(2)]), "at {at}, renewed by its witnesses");
     }
-    net.saw(1, "n1", 100, 0, 0);
+    net.observe_node(1, "n1", 100, 0, 0);
     net.run(10 * PERIOD);
     for at in 0..COUNT {
         assert_eq!(fact(&net, at, "n1").map(|n| n.silent_for), Some(vec![name(2)]), "at {at}");
@@ -76,11 +77,11 @@
 }
 
 #[test]
-fn a_later_start_voids_the_silences_of_the_earlier() {
-    let mut net = settled(4);
-    net.saw(1, "n1", 100, 0, PERIOD);
+fn later_start_discards_earlier_silence_reports() {
+    let mut net = converged(4);
+    net.observe_node(1, "n1", 100, 0, PERIOD);
     net.run(10 * PERIOD);
-    net.saw(4, "n1", 101, 5 * PERIOD, 0);
+    net.observe_node(4, "n1", 101, 5 * PERIOD, 0);
     net.run(10 * PERIOD);
     for at in 0..COUNT {
         assert_eq!(fact(&net, at, "n1").map(|n| n.silent_for), Some(vec![]), "at {at}");
@@ -88,16 +89,16 @@
 }
 
 #[test]
-fn nodes_are_bounded_and_the_cold_and_the_silent_are_kept() {
-    let mut net = Net::new(3, 5);
-    net.adjust = |options| options.most_nodes = 8;
+fn node_limit_keeps_cold_and_silent_nodes() {
+    let mut net = SimulatedNetwork::new(3, 5);
+    net.adjust_options = |options| options.most_nodes = 8;
     net.start_all();
-    let (all, bound) = (net.all(), net.bound());
-    net.settle(&all, bound).expect("it settles");
-    net.saw(0, "cold", 1, 100 * PERIOD, 0);
-    net.saw(0, "silent", 1, 0, PERIOD);
+    let (all, bound) = (net.all(), net.convergence_bound());
+    net.converge(&all, bound).expect("it settles");
+    net.observe_node(0, "cold", 1, 100 * PERIOD, 0);
+    net.observe_node(0, "silent", 1, 0, PERIOD);
     for node in 0..50 {
-        net.saw(0, &format!("n{node:02}"), 1, 0, 0);
+        net.observe_node(0, &format!("n{node:02}"), 1, 0, 0);
     }
     net.run(10 * PERIOD);
     for at in 0..3 {
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! A hundred and twenty drawn schedules; `cargo run --release -p fleet --example schedules` plays as many as one likes.
+//! Runs 120 random fault schedules; `cargo run --release -p fleet --example schedules` runs any number.
 
 mod net;
 #[path = "net/schedule.rs"]
@@ -7,14 +7,14 @@
 use fleet::Plant;
 
 #[test]
-fn drawn_schedules_settle_within_the_bound() {
-    let part = |part: u64| {
-        for seed in (1..=120).filter(|seed| seed % 4 == part) {
-            match schedule::play(seed, Plant::None) {
-                Ok(played) => {
-                    let most = net::PERIOD / 1000 * i64::from(played.bound);
-                    assert!(played.settled <= most, "seed {seed}: {played:?}");
-                    assert!(played.flapping.is_none_or(|f| f <= 1.0), "seed {seed}: {played:?}");
+fn random_schedules_converge_within_the_bound() {
+    let run_quarter = |quarter: u64| {
+        for seed in (1..=120).filter(|seed| seed % 4 == quarter) {
+            match schedule::run_schedule(seed, Plant::None) {
+                Ok(result) => {
+                    let most = net::PERIOD / 1000 * i64::from(result.bound);
+                    assert!(result.settled <= most, "seed {seed}: {result:?}");
+                    assert!(result.flapping.is_none_or(|f| f <= 1.0), "seed {seed}: {result:?}");
                 }
                 Err(why) => panic!("seed {seed}: {why}"),
             }
@@ -22,22 +22,22 @@
     };
     std::thread::scope(|scope| {
         (0..4).for_each(|at| {
-            scope.spawn(move || part(at));
+            scope.spawn(move || run_quarter(at));
         });
     });
 }
 
-/// The first drawn schedule that fails with this mistake.
-fn caught(plant: Plant, most: u64) -> bool {
-    (1..=most).any(|seed| schedule::play(seed, plant).is_err())
+/// Whether any of the first `most` random schedules fails with this injected fault.
+fn any_schedule_fails(plant: Plant, most: u64) -> bool {
+    (1..=most).any(|seed| schedule::run_schedule(seed, plant).is_err())
 }
 
 #[test]
-fn a_forgotten_refutation_is_caught_by_drawn_schedules() {
-    assert!(caught(Plant::RefutationForgotten, 60));
+fn forgotten_refutation_fails_random_schedules() {
+    assert!(any_schedule_fails(Plant::RefutationForgotten, 60));
 }
 
 #[test]
-fn a_merge_by_arrival_is_caught_by_drawn_schedules() {
-    assert!(caught(Plant::MergeByArrival, 60));
+fn merge_by_arrival_fails_random_schedules() {
+    assert!(any_schedule_fails(Plant::MergeByArrival, 60));
 }
