--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -1,78 +1,78 @@
-//! One connection's frames for those who are not in a mesh of pairs: who is at the other end, notes, questions, beats.
+//! Framing of a single connection for users outside a mesh: greeting, notes, questions and heartbeats.
 //!
-//! It has no time, retries or limits: its user bounds what it leaves unwritten and how long it bears silence.
+//! It has no timers, retries or limits: the user bounds unwritten bytes and the tolerated silence.
 
 use crate::life::Life;
 use crate::wire::{Decoder, Frame, Hello, Kind, PeerName, Reason, VERSIONS, WireError};
 
-/// Who one end of a connection is.
+/// The identity of one end of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Greeting {
-    /// What tells this site from another.
+    /// Identifies the site.
     pub site: u64,
-    /// Its name.
+    /// The gateway's name.
     pub name: PeerName,
-    /// The life it is in.
+    /// Its current life.
     pub life: Life,
 }
 
-/// What the other end said.
+/// A message received from the other end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Word {
-    /// Its first words; told once, before all else.
+    /// The greeting; returned once, before any other message.
     Hello(Greeting),
-    /// It is there.
+    /// A heartbeat.
     Beat,
     /// A question.
     Ask {
-        /// The number that its answer has to bear.
+        /// The question's number, which its answer repeats.
         id: u64,
-        /// What it is about.
+        /// The topic.
         kind: Kind,
-        /// Its body.
+        /// The body.
         body: Vec<u8>,
     },
     /// An answer to a question of this side.
     Answer {
         /// The question's number.
         id: u64,
-        /// Its body.
+        /// The body.
         body: Vec<u8>,
     },
-    /// A question of this side will get no answer.
+    /// The other end declines to answer a question of this side.
     Pass {
         /// The question's number.
         id: u64,
     },
-    /// Something it tells.
+    /// A one-way message.
     Note {
-        /// What it is about.
+        /// The topic.
         kind: Kind,
-        /// Its body.
+        /// The body.
         body: Vec<u8>,
     },
-    /// It ends the connection; in words, why.
+    /// The other end closes the connection, with a reason for operators.
     Bye(&'static str),
 }
 
-/// Why a connection has to end.
+/// Why a connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChannelError {
-    /// What came is no frame, or none that is taken.
+    /// The bytes are not an acceptable frame.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// The other end belongs to another site.
     #[error("the other end is of another site ({0:016x})")]
     Site(u64),
-    /// No version of the protocol in common.
+    /// There is no common protocol version.
     #[error("the other end speaks versions {0} to {1} of the protocol, this one {least} to {most}", least = VERSIONS.0, most = VERSIONS.1)]
     Version(u16, u16),
-    /// It did not begin with its greeting, or gave it twice.
-    #[error("the other end does not keep to the order of the protocol")]
+    /// The greeting was not first, or came twice.
+    #[error("the other end violates the message order of the protocol")]
     Order,
 }
 
-/// Frames of one connection.
+/// Decodes the frames of one connection.
 #[derive(Debug)]
 pub struct Channel {
     site: u64,
@@ -81,25 +81,25 @@
 }
 
 impl Channel {
-    /// A connection on which the other end has to be of this site.
+    /// Creates a channel that accepts only the given site.
     pub fn new(site: u64) -> Self {
         Channel { site, greeted: false, decoder: Decoder::default() }
     }
 
-    /// Whether the other end has said who it is.
+    /// Whether the other end has sent its greeting.
     pub fn is_greeted(&self) -> bool {
         self.greeted
     }
 
-    /// Takes bytes that came in.
+    /// Appends received bytes.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.decoder.receive(bytes);
     }
 
-    /// The next word; none until more bytes come.
+    /// Returns the next message; `None` until more bytes arrive.
     ///
     /// # Errors
-    /// The connection has to end: nothing behind this can be trusted.
+    /// The connection must be closed: nothing after the error can be trusted.
     pub fn poll(&mut self) -> Result<Option<Word>, ChannelError> {
         loop {
             let Some(frame) = self.decoder.poll()? else { return Ok(None) };
@@ -118,7 +118,7 @@
                     Reason::Stale(_) => "a later life of this name was seen",
                     Reason::Version => "no version in common",
                     Reason::Stranger => "it does not know this name or site",
-                    Reason::Else => "it does not say why",
+                    Reason::Else => "it gives no reason",
                 }),
                 Frame::Hello(_) => return Err(ChannelError::Order),
                 _ if !self.greeted => return Err(ChannelError::Order),
@@ -127,7 +127,7 @@
                 Frame::Answer { id, body } => Word::Answer { id, body },
                 Frame::Pass { id } => Word::Pass { id },
                 Frame::Note { kind, body } => Word::Note { kind, body },
-                // A later version's.
+                // A frame of a later version.
                 Frame::Unknown => continue,
             };
             return Ok(Some(word));
@@ -135,7 +135,7 @@
     }
 }
 
-/// Bytes of the first frame on a connection.
+/// Encodes the greeting, the first frame on a connection.
 pub fn hello(greeting: &Greeting) -> Vec<u8> {
     let hello = Hello {
         least: VERSIONS.0,
@@ -148,37 +148,37 @@
     bytes(&Frame::Hello(hello))
 }
 
-/// Bytes of a sign of life.
+/// Encodes a heartbeat.
 pub fn beat() -> Vec<u8> {
     bytes(&Frame::Beat)
 }
 
-/// Bytes of a note; none if it is longer than a frame may be.
+/// Encodes a note; `None` if it exceeds the frame limit.
 pub fn note(kind: Kind, body: Vec<u8>) -> Option<Vec<u8>> {
     Frame::Note { kind, body }.encode()
 }
 
-/// Bytes of a question; none if it is longer than a frame may be.
+/// Encodes a question; `None` if it exceeds the frame limit.
 pub fn ask(id: u64, kind: Kind, body: Vec<u8>) -> Option<Vec<u8>> {
     Frame::Ask { id, kind, body }.encode()
 }
 
-/// Bytes of an answer; none if it is longer than a frame may be.
+/// Encodes an answer; `None` if it exceeds the frame limit.
 pub fn answer(id: u64, body: Vec<u8>) -> Option<Vec<u8>> {
     Frame::Answer { id, body }.encode()
 }
 
-/// Bytes that pass a question.
+/// Encodes the refusal to answer a question.
 pub fn pass(id: u64) -> Vec<u8> {
     bytes(&Frame::Pass { id })
 }
 
-/// Bytes of last words to a stranger.
+/// Encodes the closing frame for an unknown peer.
 pub fn bye_stranger() -> Vec<u8> {
     bytes(&Frame::Bye(Reason::Stranger))
 }
 
-/// Frames that are short whatever they hold.
+/// Encodes a frame that is always below the size limit.
 fn bytes(frame: &Frame) -> Vec<u8> {
     frame.encode().unwrap_or_default()
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,14 +1,14 @@
-//! What one gateway says to another, and what it makes of the other's silence. No sockets, threads or clocks: a
-//! [`Mesh`] takes the time and what happened, and says what to do.
+//! The protocol between gateways, without sockets, threads or clocks: a [`Mesh`] takes the time and an input, and returns
+//! the outputs to carry out.
 //!
-//! - Each gateway lives several times: a [`Life`] is numbered by an incarnation that rises at every start and was stored
-//!   before the first word. A nonce tells two lives apart that claim one number, as a disk that was put back would.
-//! - One connection for each pair, dialled by the one whose name comes first; [`wire`] has its frames.
-//! - Every question has a deadline and one outcome. A peer's silence is told as that and never as its death.
-//! - All that is held for a peer is bounded: open questions either way, bytes on their way out, greetings.
+//! - A [`Life`] is one run of a gateway. Its incarnation rises at every start and is stored before the first message. A
+//!   nonce distinguishes two lives that claim the same incarnation, as can happen after a disk was restored.
+//! - Each pair has one connection, dialled by the gateway whose name sorts first; [`wire`] defines the frames.
+//! - Every question has a deadline and exactly one outcome. A silent peer is reported as quiet, never as dead.
+//! - Everything held for a peer is bounded: open questions in both directions, unwritten bytes, unfinished greetings.
 //!
-//! What it is not: a membership service, a vote, or a decision. What the bodies of questions and notes mean is their
-//! users' affair; nothing here changes where a request goes.
+//! This is not a membership service, a vote or a decision. Bodies of questions and notes are opaque here, and nothing here
+//! changes where a request is sent.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -23,5 +23,5 @@
 pub use mesh::{Conn, Input, Mesh, MeshOptions, NoAnswer, Output, PeerLook, QuestionId, Told};
 pub use wire::{Kind, PeerName};
 
-/// Microseconds on the caller's clock, which only ever goes forward.
+/// Microseconds on the caller's clock, which is monotonic.
 pub type Micros = i64;
--- a/crates/peer/src/life.rs
+++ b/crates/peer/src/life.rs
@@ -1,4 +1,4 @@
-//! Lives of gateways: which of two is the later one, and what a stored number is worth.
+//! Lives of gateways and their order.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,36 +7,36 @@
 
 use crate::wire::PeerName;
 
-/// Number of a gateway's start. It rises with every start.
+/// Number of a gateway's start, incremented at every start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Drawn at every start: two lives with one incarnation are told apart by it.
+/// Random number drawn at every start, which distinguishes two lives with the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Nonce(pub u64);
 
-/// One life of a gateway, from a start to its end.
+/// One run of a gateway, from a start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Life {
-    /// Its number.
+    /// The number of the start.
     pub incarnation: Incarnation,
-    /// What tells it from another of that number.
+    /// Distinguishes it from another life with that incarnation.
     pub nonce: Nonce,
 }
 
 impl Life {
-    /// The life that follows what is stored of the last one; the first if nothing is.
+    /// The life that follows the stored one; the first life if none is stored.
     pub fn after(stored: Option<Life>, nonce: Nonce) -> Life {
         let last = stored.map_or(0, |life| life.incarnation.0);
         Life { incarnation: Incarnation(last + 1), nonce }
     }
 
-    /// Whether this life is over if `seen` is a life that others have met under the same name.
+    /// Whether this life is over, given that others saw the life `seen` under the same name.
     ///
-    /// Danger: a disk that was put back or lost makes a gateway claim a number it has used before; what its earlier
-    /// life left in flight would pass for its own. It has to take a number above what anybody has seen.
+    /// A gateway whose disk was restored or lost claims an incarnation that it used before, and messages of its earlier life
+    /// still in flight would pass for its own. It must take an incarnation above any that was seen.
     pub fn is_behind(self, seen: Life) -> bool {
         seen.incarnation > self.incarnation
             || seen.incarnation == self.incarnation && seen.nonce != self.nonce
@@ -49,18 +49,18 @@
     }
 }
 
-/// What a life that a peer claims is, against those that were seen of it.
+/// Result of comparing a life that a peer claims with those seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sighting {
-    /// Nothing was known of this peer, or this is the life that was.
+    /// The peer was unknown, or this is its known life.
     Known,
-    /// A later life than the one given, which is therefore over.
+    /// The claim is later than the given life, which is therefore over.
     Later(Life),
-    /// Not later than the one given: the claim is of a life that is over, or of a disk that was put back.
+    /// The claim is not later than the given life: that life is over, or the peer's disk was restored.
     Stale(Life),
 }
 
-/// The latest life seen of each peer. Kept on a disk by its user, as the peer's own disk may forget it.
+/// The latest life seen of each peer. The user stores it on disk, because the peer's own disk may lose it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lives(BTreeMap<PeerName, Life>);
 
@@ -70,7 +70,7 @@
         self.0.get(name).copied()
     }
 
-    /// Takes a claim. A later life is remembered, a stale one is not.
+    /// Records a claimed life. A later life is stored, a stale one is not.
     pub fn see(&mut self, name: &PeerName, claim: Life) -> Sighting {
         match self.of(name) {
             Some(known) if known == claim => Sighting::Known,
--- a/crates/peer/src/mesh/frames.rs
+++ b/crates/peer/src/mesh/frames.rs
@@ -1,6 +1,6 @@
-//! What peers say, frame by frame.
+//! Handling of frames received from peers.
 
-use super::{Conn, Mesh, NoAnswer, Output, Told, answered};
+use super::{Conn, Mesh, NoAnswer, Output, Told, answer_output};
 use crate::life::{Life, Sighting};
 use crate::session::Stage;
 use crate::wire::{Frame, Hello, PeerName, Reason, VERSIONS};
@@ -15,7 +15,7 @@
                 Ok(Some(frame)) => self.on_frame(conn, frame, out),
                 Ok(None) => return,
                 Err(_) => {
-                    // Danger: a damaged frame leaves the stream out of step; what follows would be read as something else.
+                    // After a damaged frame the stream is out of sync, and later bytes would be misinterpreted.
                     self.close(conn, None, out);
                     return;
                 }
@@ -24,13 +24,13 @@
     }
 
     pub(super) fn on_frame(&mut self, conn: Conn, frame: Frame, out: &mut Vec<Output>) {
-        let most = self.options.questions;
+        let max_questions = self.options.questions;
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        session.heard = self.now;
+        session.last_received = self.now;
         let peer = session.peer().map(|(name, life)| (name.clone(), life));
         if let Some((name, _)) = &peer {
-            if session.quiet {
-                session.quiet = false;
+            if session.reported_quiet {
+                session.reported_quiet = false;
                 out.push(Output::Tell(Told::Heard { peer: name.clone() }));
             }
             if let Some(p) = self.peers.get_mut(name) {
@@ -44,31 +44,31 @@
                 self.on_bye(conn, reason, name, out);
             }
             (Frame::Ask { id, kind, body }, Some((peer, life))) => {
-                // Danger: a peer that asks without end would fill the memory of one that answers slowly.
-                if session.owed.len() >= most || !session.owed.insert(id) {
-                    let bytes = session.say(self.now, &Frame::Pass { id });
+                // Without this limit, a peer that asks without end could exhaust memory while answers are slow.
+                if session.unanswered.len() >= max_questions || !session.unanswered.insert(id) {
+                    let bytes = session.encode_frame(self.now, &Frame::Pass { id });
                     out.extend(bytes.map(|bytes| Output::Write(conn, bytes)));
-                    self.limit(conn, out);
+                    self.enforce_unwritten_limit(conn, out);
                 } else {
                     out.push(Output::Tell(Told::Asked { peer, life, conn, id, kind, body }));
                 }
             }
             (Frame::Answer { id, body }, Some((peer, _))) => {
-                // One that comes after its deadline finds no question any more.
-                if session.asked.remove(&id).is_some() {
-                    out.push(answered(&peer, id, Ok(body)));
+                // An answer after its deadline no longer has a question.
+                if session.pending_questions.remove(&id).is_some() {
+                    out.push(answer_output(&peer, id, Ok(body)));
                 }
             }
             (Frame::Pass { id }, Some((peer, _))) => {
-                if session.asked.remove(&id).is_some() {
-                    out.push(answered(&peer, id, Err(NoAnswer::Passed)));
+                if session.pending_questions.remove(&id).is_some() {
+                    out.push(answer_output(&peer, id, Err(NoAnswer::Passed)));
                 }
             }
             (Frame::Note { kind, body }, Some((peer, life))) => {
                 out.push(Output::Tell(Told::Noted { peer, life, kind, body }));
             }
             (Frame::Beat | Frame::Unknown, Some(_)) => {}
-            // Anything before the first words, or these twice: not a peer that keeps to the protocol.
+            // Protocol violation: a frame before the greeting, or a second greeting.
             (_, None) | (Frame::Hello(_), Some(_)) => self.close(conn, None, out),
         }
     }
@@ -79,15 +79,15 @@
         let name = hello.name.clone();
         let refused = |why| Output::Tell(Told::Refused { peer: Some(name.clone()), why });
         if hello.least > VERSIONS.1 || hello.most < VERSIONS.0 {
-            out.push(refused("it speaks no version that is spoken here"));
+            out.push(refused("it supports no protocol version that is supported here"));
             return self.close(conn, Some(Reason::Version), out);
         }
         if hello.site != self.options.site || !self.peers.contains_key(&name) {
             out.push(refused("it belongs to another site or is not in the list of peers"));
             return self.close(conn, Some(Reason::Stranger), out);
         }
-        // An address that was given to another gateway since: not the one that was meant.
-        if dialled.as_ref().is_some_and(|meant| *meant != name) {
+        // The address now belongs to another gateway than the one dialled.
+        if dialled.as_ref().is_some_and(|expected| *expected != name) {
             out.push(refused("another peer answers at the address of the one that was dialled"));
             return self.close(conn, Some(Reason::Else), out);
         }
@@ -104,7 +104,7 @@
             }
             Sighting::Known => {}
         }
-        // The peer would not dial again if it took its connection for good: the one before is over.
+        // The peer would not reconnect if it still considered the former connection usable, so that one is closed.
         if let Some(before) = self.peers.get(&name).and_then(|p| p.conn) {
             self.close(before, None, out);
         }
@@ -112,11 +112,11 @@
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         session.stage = Stage::Up { name: name.clone(), life: hello.life };
         if dialled.is_none() {
-            let bytes = session.say(self.now, &greeting);
+            let bytes = session.encode_frame(self.now, &greeting);
             out.extend(bytes.map(|bytes| Output::Write(conn, bytes)));
         }
         if let Some(peer) = self.peers.get_mut(&name) {
-            (peer.conn, peer.failed, peer.heard) = (Some(conn), 0, Some(self.now));
+            (peer.conn, peer.failed_dials, peer.heard) = (Some(conn), 0, Some(self.now));
         }
         out.push(Output::Tell(Told::Up { peer: name, life: hello.life }));
     }
@@ -135,7 +135,7 @@
             (Reason::Version, peer) => {
                 out.push(Output::Tell(Told::Refused {
                     peer,
-                    why: "it speaks no version that is spoken here",
+                    why: "it supports no protocol version that is supported here",
                 }));
             }
             (Reason::Stranger, peer) => {
@@ -146,10 +146,10 @@
         self.close(conn, None, out);
     }
 
-    /// Danger: this life is over and does not know it. Whatever it says from here on would be taken for the later one's, so it
-    /// says nothing more to anybody. Harm: a peer that lies stops it; peers are of one site and are believed in this.
+    /// Stops this life, because a later one was seen. Anything sent from now on would be attributed to the later life, so
+    /// nothing more is sent. The cost: a peer that reports a false life stops this one; peers of a site are trusted in this.
     pub(super) fn superseded(&mut self, by: PeerName, seen: Life, out: &mut Vec<Output>) {
-        self.over = true;
+        self.is_superseded = true;
         out.push(Output::Tell(Told::Superseded { by, seen }));
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.close(conn, None, out);
--- a/crates/peer/src/mesh/interface.rs
+++ b/crates/peer/src/mesh/interface.rs
@@ -1,46 +1,46 @@
-//! What a mesh is told, and what it says.
+//! Options, inputs and outputs of a mesh.
 
 use crate::Micros;
 use crate::life::Life;
 use crate::wire::{Kind, PeerName};
 
-/// A connection, numbered by the caller.
+/// Connection number, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
-/// A question that was asked.
+/// Number of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QuestionId(pub u64);
 
-/// Settings of a mesh. All times in microseconds.
+/// Options of a mesh. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct MeshOptions {
     /// This gateway's name.
     pub name: PeerName,
-    /// Whom it talks to.
+    /// The gateways it connects with.
     pub peers: Vec<PeerName>,
-    /// What tells this site from another; the same at all its gateways.
+    /// Identifies the site; the same on all its gateways.
     pub site: u64,
-    /// Something is said at least so often.
+    /// Heartbeat interval: maximum time without sending.
     pub beat: Micros,
-    /// Nothing heard for this long is told as quiet.
+    /// A peer is reported quiet after receiving nothing for this long.
     pub quiet: Micros,
-    /// Nothing heard for this long ends the connection.
+    /// The connection is closed after receiving nothing for this long.
     pub drop: Micros,
-    /// First words have to come within this.
+    /// Timeout of the greeting.
     pub greeting: Micros,
-    /// First and longest pause before a peer is dialled again.
+    /// Initial and maximum delay before a peer is redialled.
     pub redial: (Micros, Micros),
-    /// Questions that may be open at one peer; as many of its own may be open here.
+    /// Maximum open questions on a connection, in each direction.
     pub questions: usize,
-    /// Bytes that a peer may leave untaken.
+    /// Maximum unwritten bytes for a peer.
     pub unwritten: usize,
-    /// Connections that have not said yet whose they are.
+    /// Maximum connections with an unfinished greeting.
     pub greetings: usize,
 }
 
 impl MeshOptions {
-    /// Settings for a name and its peers at a site.
+    /// Default options for a gateway and its peers.
     pub fn new(name: PeerName, peers: Vec<PeerName>, site: u64) -> Self {
         MeshOptions {
             name,
@@ -58,41 +58,41 @@
     }
 }
 
-/// What happened.
+/// An event to process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A peer that was to be dialled is connected.
+    /// A dialled peer is connected.
     Dialled {
         /// The peer.
         peer: PeerName,
-        /// The connection, of a number not used before.
+        /// The connection, with a number not used before.
         conn: Conn,
     },
-    /// A peer could not be connected.
+    /// Dialling a peer failed.
     NotDialled {
         /// The peer.
         peer: PeerName,
     },
-    /// Somebody has connected.
+    /// An incoming connection was accepted.
     Accepted {
-        /// The connection, of a number not used before.
+        /// The connection, with a number not used before.
         conn: Conn,
     },
-    /// Bytes came.
+    /// Bytes were received.
     Bytes {
-        /// On this connection.
+        /// The connection.
         conn: Conn,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Bytes were taken by the connection.
+    /// Bytes were written to the connection.
     Taken {
         /// The connection.
         conn: Conn,
-        /// How many.
+        /// Their number.
         bytes: usize,
     },
-    /// A connection has ended.
+    /// A connection was closed.
     Ended {
         /// The connection.
         conn: Conn,
@@ -101,153 +101,153 @@
     Tick,
 }
 
-/// Why a question has no answer. It says nothing of whether the peer lives, nor of whether it heard the question.
+/// Why a question has no answer. This does not tell whether the peer is alive or received the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoAnswer {
-    /// There was no connection; it was not sent.
+    /// The peer was not connected; the question was not sent.
     #[error("the peer is not connected")]
     NotUp,
-    /// Too many questions were open at the peer already, or it is too long; it was not sent.
-    #[error("too many questions are open at the peer, or it is too long")]
+    /// Too many questions were open at the peer, or the question is too long; it was not sent.
+    #[error("too many questions are open at the peer, or the question is too long")]
     TooMuch,
-    /// Its deadline passed.
+    /// The deadline passed.
     #[error("no answer came in time")]
     Late,
-    /// The connection ended first.
+    /// The connection was closed first.
     #[error("the connection ended before an answer came")]
     Lost,
-    /// The peer does not know such questions, or has too many open.
-    #[error("the peer passed the question")]
+    /// The peer declined: it does not know this kind of question, or has too many open.
+    #[error("the peer declined the question")]
     Passed,
 }
 
-/// What a mesh tells its user.
+/// A notification to the user of the mesh.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
-    /// A peer is there: both know who the other is.
+    /// A peer is connected and greetings were exchanged.
     Up {
         /// The peer.
         peer: PeerName,
         /// Its life.
         life: Life,
     },
-    /// A peer's connection has ended. Not that the peer has.
+    /// A peer's connection was closed. The peer itself may still be running.
     Down {
         /// The peer.
         peer: PeerName,
-        /// The life it was in.
+        /// Its life on that connection.
         life: Life,
     },
-    /// Nothing was heard of a connected peer for some time.
+    /// Nothing was received from a connected peer for some time.
     Quiet {
         /// The peer.
         peer: PeerName,
-        /// When it was last heard.
+        /// When anything was last received.
         since: Micros,
     },
-    /// A quiet peer was heard again.
+    /// Something was received from a quiet peer again.
     Heard {
         /// The peer.
         peer: PeerName,
     },
-    /// A peer began another life; the one before is over. Tell the disk.
+    /// A peer began another life; the former one is over. The user stores this.
     NewLife {
         /// The peer.
         peer: PeerName,
-        /// The life that is over.
+        /// The former life.
         before: Life,
-        /// The one it is in.
+        /// The current life.
         now: Life,
     },
-    /// Somebody came with a life that is over, and was turned away.
+    /// A peer claimed a life that is over, and was rejected.
     Stale {
-        /// The name it gave.
+        /// The name in its greeting.
         peer: PeerName,
         /// The life it claimed.
         claim: Life,
-        /// The later one that was seen.
+        /// The later life that was seen.
         seen: Life,
     },
-    /// A later life of this gateway's own name was seen: nothing more may be done in this one. See [`Mesh::renew`].
+    /// A later life under this gateway's name was seen: this life must stop. See [`Mesh::renew`](crate::Mesh::renew).
     Superseded {
-        /// Who has seen it.
+        /// The peer that has seen it.
         by: PeerName,
-        /// The life to get above.
+        /// The life that the next one must exceed.
         seen: Life,
     },
-    /// This gateway goes on in another life.
+    /// This gateway continues in another life.
     Renewed {
-        /// That life.
+        /// The new life.
         life: Life,
     },
-    /// A question came; it is to be answered with [`Mesh::answer`], or passed.
+    /// A question arrived; to be answered or declined with [`Mesh::answer`](crate::Mesh::answer).
     Asked {
-        /// Who asks.
+        /// The sender.
         peer: PeerName,
-        /// In which life.
+        /// The sender's life.
         life: Life,
-        /// To be given with the answer.
+        /// The connection, to be passed with the answer.
         conn: Conn,
-        /// The question's number there.
+        /// The question's number on that connection.
         id: u64,
-        /// What it is about.
+        /// The topic.
         kind: Kind,
         /// Its body.
         body: Vec<u8>,
     },
-    /// A question's one outcome.
+    /// The single outcome of a question.
     Answered {
-        /// Who was asked.
+        /// The peer that was asked.
         peer: PeerName,
         /// The question.
         question: QuestionId,
-        /// The answer's body.
+        /// The answer's body, or why there is none.
         outcome: Result<Vec<u8>, NoAnswer>,
     },
-    /// A peer's note.
+    /// A one-way message from a peer.
     Noted {
-        /// Who says so.
+        /// The sender.
         peer: PeerName,
-        /// In which life.
+        /// The sender's life.
         life: Life,
-        /// What it is about.
+        /// The topic.
         kind: Kind,
         /// Its body.
         body: Vec<u8>,
     },
-    /// A peer speaks no version that is spoken here, or one of the two does not know the other.
+    /// There is no common protocol version, or one of the two does not know the other.
     Refused {
-        /// The peer, as far as it was named.
+        /// The peer, if its name is known.
         peer: Option<PeerName>,
-        /// For operators.
+        /// The reason, for operators.
         why: &'static str,
     },
 }
 
-/// What is to be done.
+/// An effect that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Connect to a peer; ends with `Dialled` or `NotDialled`, within a time that the caller bounds.
+    /// Dial a peer; followed by `Dialled` or `NotDialled` within a timeout that the caller sets.
     Dial(PeerName),
-    /// Write bytes.
+    /// Write bytes to a connection.
     Write(Conn, Vec<u8>),
-    /// End a connection once what was written has gone out; no `Ended` is waited for.
+    /// Close a connection after sending all written bytes; no `Ended` is expected.
     Close(Conn),
-    /// For the user.
+    /// A notification for the user.
     Tell(Told),
 }
 
-/// What is known of a peer, for operators.
+/// The state of a peer, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLook {
     /// Its name.
     pub name: PeerName,
     /// The latest life seen.
     pub life: Option<Life>,
-    /// It is connected.
+    /// Whether it is connected.
     pub up: bool,
-    /// It is connected and has not been heard for some time.
+    /// Whether it is connected but nothing was received for some time.
     pub quiet: bool,
-    /// When it was last heard.
+    /// When anything was last received from it.
     pub heard: Option<Micros>,
 }
--- a/crates/peer/src/session.rs
+++ b/crates/peer/src/session.rs
@@ -1,4 +1,4 @@
-//! One connection's talk with one peer, from its first words to its end.
+//! State of one connection with a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,39 +6,39 @@
 use crate::life::Life;
 use crate::wire::{Decoder, Frame, PeerName};
 
-/// A question that is out.
+/// A question that waits for its answer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Open {
+pub(crate) struct PendingQuestion {
     pub(crate) deadline: Micros,
 }
 
-/// How far a connection has come.
+/// The stage of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// The other's first words are waited for.
+    /// Waiting for the greeting of the other end.
     Greeting,
-    /// Both know who the other is.
+    /// Greetings were exchanged.
     Up { name: PeerName, life: Life },
 }
 
-/// A connection, whoever opened it.
+/// A connection, dialled or accepted.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub(crate) stage: Stage,
-    /// The peer that was dialled; none on a connection that came in.
+    /// The dialled peer; `None` on an accepted connection.
     pub(crate) dialled: Option<PeerName>,
-    pub(crate) since: Micros,
-    pub(crate) heard: Micros,
-    pub(crate) spoke: Micros,
-    /// Told as quiet, and not heard since.
-    pub(crate) quiet: bool,
+    pub(crate) opened_at: Micros,
+    pub(crate) last_received: Micros,
+    pub(crate) last_sent: Micros,
+    /// Reported as quiet, with nothing received since.
+    pub(crate) reported_quiet: bool,
     pub(crate) decoder: Decoder,
-    /// Bytes handed to the connection that it has not taken yet.
+    /// Bytes passed to the connection that are not written yet.
     pub(crate) unwritten: usize,
-    /// Questions of this side, by number.
-    pub(crate) asked: BTreeMap<u64, Open>,
-    /// Questions of the other side that are not answered yet.
-    pub(crate) owed: BTreeSet<u64>,
+    /// Open questions of this side, by number.
+    pub(crate) pending_questions: BTreeMap<u64, PendingQuestion>,
+    /// Open questions of the other side.
+    pub(crate) unanswered: BTreeSet<u64>,
 }
 
 impl Session {
@@ -46,18 +46,18 @@
         Session {
             stage: Stage::Greeting,
             dialled,
-            since: now,
-            heard: now,
-            spoke: now,
-            quiet: false,
+            opened_at: now,
+            last_received: now,
+            last_sent: now,
+            reported_quiet: false,
             decoder: Decoder::default(),
             unwritten: 0,
-            asked: BTreeMap::new(),
-            owed: BTreeSet::new(),
+            pending_questions: BTreeMap::new(),
+            unanswered: BTreeSet::new(),
         }
     }
 
-    /// Who is at the other end, once that is known.
+    /// The peer at the other end, once its greeting arrived.
     pub(crate) fn peer(&self) -> Option<(&PeerName, Life)> {
         match &self.stage {
             Stage::Greeting => None,
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Bytes of a frame for the other side, counted as not taken yet.
-    pub(crate) fn say(&mut self, now: Micros, frame: &Frame) -> Option<Vec<u8>> {
+    /// Encodes a frame to send and counts its bytes as unwritten.
+    pub(crate) fn encode_frame(&mut self, now: Micros, frame: &Frame) -> Option<Vec<u8>> {
         let bytes = frame.encode()?;
-        self.spoke = now;
+        self.last_sent = now;
         self.unwritten += bytes.len();
         Some(bytes)
     }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,8 +1,8 @@
 //! Frames between gateways.
 //!
 //! A frame is its length (4 bytes, little endian), a CRC32C of the rest (4) and a map in MessagePack with named fields.
-//! Fields that are not known are passed over, as are whole frames of a sort that is not known, so that a later version may
-//! add either. A sum that does not match ends the connection: nothing behind it can be trusted to be in step.
+//! Unknown fields and frames of unknown types are skipped, so that a later version may add either. A checksum mismatch ends
+//! the connection, because the position of later frames can no longer be trusted.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -12,15 +12,15 @@
 
 use crate::life::Life;
 
-/// The longest frame, in bytes, without its first eight.
+/// Maximum frame length in bytes, without the 8-byte header.
 pub const MOST: usize = 256 << 10;
-/// Versions of this protocol that are spoken here: least and most.
+/// Lowest and highest supported protocol version.
 pub const VERSIONS: (u16, u16) = (1, 1);
-const HEAD: usize = 8;
-/// Bytes of room that a connection keeps between frames.
-const KEPT: usize = 16 << 10;
+const HEADER_BYTES: usize = 8;
+/// Buffer capacity that a connection retains between frames.
+const RETAINED_CAPACITY_BYTES: usize = 16 << 10;
 
-/// A gateway's name, the same at all its peers.
+/// A gateway's name, the same on all its peers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PeerName(pub String);
@@ -43,26 +43,26 @@
     }
 }
 
-/// What a question or a note is about; the numbers are its users'.
+/// Topic of a question or note; users of the protocol assign the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Kind(pub u16);
 
-/// Why a frame ends its connection.
+/// Why a frame cannot be accepted, which ends the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// It is longer than [`MOST`].
-    #[error("a frame of {0} bytes is longer than the {MOST} that are taken")]
+    /// The frame is longer than [`MOST`].
+    #[error("a frame of {0} bytes exceeds the limit of {MOST}")]
     TooLong(usize),
-    /// Its sum does not match.
+    /// The checksum does not match.
     #[error("a frame's checksum does not match")]
     Checksum,
-    /// It is no frame.
-    #[error("a frame cannot be read")]
+    /// The frame is malformed.
+    #[error("a frame cannot be decoded")]
     Form,
 }
 
-/// First words on a connection, both ways.
+/// The first frame on a connection, sent by both ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Hello {
     pub(crate) least: u16,
@@ -70,25 +70,25 @@
     pub(crate) site: u64,
     pub(crate) name: PeerName,
     pub(crate) life: Life,
-    /// The latest life that the sender has seen of the receiver.
+    /// The latest life of the receiver that the sender has seen.
     #[serde(default)]
     pub(crate) seen: Option<Life>,
 }
 
-/// Why a connection is ended by the one who says so.
+/// Why the sender closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// The receiver's life is over, as a later one of its name was seen.
+    /// The receiver's life is over: a later one was seen under its name.
     Stale(Life),
-    /// No version in common.
+    /// There is no common protocol version.
     Version,
-    /// Another site's gateway, or one that is not in the list.
+    /// The gateway is of another site or not a configured peer.
     Stranger,
-    /// Anything a later version may say.
+    /// Any other reason, including those of later versions.
     Else,
 }
 
-/// A reason as it is written.
+/// A reason as it is encoded.
 #[derive(Serialize, Deserialize)]
 struct Bye {
     why: u8,
@@ -118,7 +118,7 @@
     }
 }
 
-/// What a frame carries.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Frame {
     Hello(Hello),
@@ -132,7 +132,7 @@
         id: u64,
         body: Vec<u8>,
     },
-    /// The question is not understood, or too many are open: it will get no answer.
+    /// The question is not understood, or too many are open; there will be no answer.
     Pass {
         id: u64,
     },
@@ -141,11 +141,11 @@
         body: Vec<u8>,
     },
     Bye(Reason),
-    /// Of a sort that is not known here.
+    /// A frame of an unknown type.
     Unknown,
 }
 
-/// All sorts of frames as one map; what a sort does not need is left out.
+/// The encoded map for all frame types; unused fields are omitted.
 #[derive(Default, Serialize, Deserialize)]
 struct Envelope {
     t: u8,
@@ -163,51 +163,51 @@
 
 impl Frame {
     fn envelope(&self) -> Envelope {
-        let e = Envelope::default();
+        let empty = Envelope::default();
         match self.clone() {
-            Frame::Hello(hello) => Envelope { t: 1, hello: Some(hello), ..e },
-            Frame::Beat => Envelope { t: 2, ..e },
+            Frame::Hello(hello) => Envelope { t: 1, hello: Some(hello), ..empty },
+            Frame::Beat => Envelope { t: 2, ..empty },
             Frame::Ask { id, kind, body } => {
-                Envelope { t: 3, id: Some(id), kind: Some(kind), body: Some(body), ..e }
+                Envelope { t: 3, id: Some(id), kind: Some(kind), body: Some(body), ..empty }
             }
-            Frame::Answer { id, body } => Envelope { t: 4, id: Some(id), body: Some(body), ..e },
-            Frame::Pass { id } => Envelope { t: 5, id: Some(id), ..e },
-            Frame::Note { kind, body } => Envelope { t: 6, kind: Some(kind), body: Some(body), ..e },
-            Frame::Bye(reason) => Envelope { t: 7, bye: Some(reason.into()), ..e },
-            Frame::Unknown => Envelope { t: 0, ..e },
+            Frame::Answer { id, body } => Envelope { t: 4, id: Some(id), body: Some(body), ..empty },
+            Frame::Pass { id } => Envelope { t: 5, id: Some(id), ..empty },
+            Frame::Note { kind, body } => Envelope { t: 6, kind: Some(kind), body: Some(body), ..empty },
+            Frame::Bye(reason) => Envelope { t: 7, bye: Some(reason.into()), ..empty },
+            Frame::Unknown => Envelope { t: 0, ..empty },
         }
     }
 
-    fn of(e: Envelope) -> Option<Frame> {
-        Some(match e.t {
-            1 => Frame::Hello(e.hello?),
+    fn from_envelope(envelope: Envelope) -> Option<Frame> {
+        Some(match envelope.t {
+            1 => Frame::Hello(envelope.hello?),
             2 => Frame::Beat,
-            3 => Frame::Ask { id: e.id?, kind: e.kind?, body: e.body? },
-            4 => Frame::Answer { id: e.id?, body: e.body? },
-            5 => Frame::Pass { id: e.id? },
-            6 => Frame::Note { kind: e.kind?, body: e.body? },
-            7 => Frame::Bye(e.bye.map_or(Reason::Else, Reason::from)),
+            3 => Frame::Ask { id: envelope.id?, kind: envelope.kind?, body: envelope.body? },
+            4 => Frame::Answer { id: envelope.id?, body: envelope.body? },
+            5 => Frame::Pass { id: envelope.id? },
+            6 => Frame::Note { kind: envelope.kind?, body: envelope.body? },
+            7 => Frame::Bye(envelope.bye.map_or(Reason::Else, Reason::from)),
             _ => Frame::Unknown,
         })
     }
 
-    /// The frame's bytes; none if it is longer than [`MOST`].
+    /// Encodes the frame; `None` if it is longer than [`MOST`].
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
-        let mut bytes = vec![0; HEAD];
-        // A vector takes all that is written to it.
+        let mut bytes = vec![0; HEADER_BYTES];
+        // Writing to a vector does not fail.
         rmp_serde::encode::write_named(&mut bytes, &self.envelope()).ok()?;
-        let length = bytes.len() - HEAD;
+        let length = bytes.len() - HEADER_BYTES;
         if length > MOST {
             return None;
         }
-        let sum = crc32c::crc32c(&bytes[HEAD..]);
+        let checksum = crc32c::crc32c(&bytes[HEADER_BYTES..]);
         bytes[..4].copy_from_slice(&(length as u32).to_le_bytes());
-        bytes[4..HEAD].copy_from_slice(&sum.to_le_bytes());
+        bytes[4..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
         Some(bytes)
     }
 }
 
-/// Cuts a connection's bytes into frames.
+/// Splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub(crate) struct Decoder {
     bytes: Vec<u8>,
@@ -215,44 +215,45 @@
 }
 
 impl Decoder {
-    /// Takes what came in.
+    /// Appends received bytes.
     pub(crate) fn receive(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.read);
         self.read = 0;
-        // A connection keeps no more for good than its usual frames need: there may be thousands.
-        if self.bytes.is_empty() && self.bytes.capacity() > KEPT {
+        // Releases a buffer larger than usual frames need, because there may be thousands of connections.
+        if self.bytes.is_empty() && self.bytes.capacity() > RETAINED_CAPACITY_BYTES {
             self.bytes = Vec::new();
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole frame.
+    /// Returns the next complete frame.
     pub(crate) fn poll(&mut self) -> Result<Option<Frame>, WireError> {
         let rest = &self.bytes[self.read..];
-        let Some((head, rest)) = rest.split_at_checked(HEAD) else { return Ok(None) };
-        let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let length = word(0) as usize;
-        // Danger: a broken length would have us wait for bytes that never come, and hold what does.
+        let Some((head, rest)) = rest.split_at_checked(HEADER_BYTES) else { return Ok(None) };
+        let header_field =
+            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let length = header_field(0) as usize;
+        // A corrupt length would otherwise make the decoder buffer data while waiting for bytes that never come.
         if length > MOST {
             return Err(WireError::TooLong(length));
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        if crc32c::crc32c(body) != word(4) {
+        if crc32c::crc32c(body) != header_field(4) {
             return Err(WireError::Checksum);
         }
         let envelope: Envelope = rmp_serde::from_slice(body).map_err(|_| WireError::Form)?;
-        self.read += HEAD + length;
-        Frame::of(envelope).ok_or(WireError::Form).map(Some)
+        self.read += HEADER_BYTES + length;
+        Frame::from_envelope(envelope).ok_or(WireError::Form).map(Some)
     }
 }
 
-/// The body of a question, an answer or a note in the form that frames use.
+/// Encodes the body of a question, answer or note in the format of frames.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Only a value that refuses to be serialized fails here; its reader then finds no body it can read.
+    // Only a value that refuses serialization fails here; its receiver then cannot decode the empty body.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Reads a body; none if it is not one of these.
+/// Decodes a body; `None` if it does not have this type.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     rmp_serde::from_slice(body).ok()
 }
@@ -268,7 +269,7 @@
     }
 
     #[test]
-    fn frames_come_back_as_they_were_however_the_bytes_are_cut() {
+    fn frames_round_trip_in_chunks_of_any_size() {
         let frames = [
             hello(),
             Frame::Beat,
@@ -288,12 +289,12 @@
                     found.push(frame);
                 }
             }
-            assert_eq!(found, frames, "in pieces of {step}");
+            assert_eq!(found, frames, "in chunks of {step}");
         }
     }
 
     #[test]
-    fn what_a_later_version_adds_is_passed_over() {
+    fn unknown_fields_and_frames_are_skipped() {
         #[derive(Serialize)]
         struct Later {
             t: u8,
@@ -325,7 +326,7 @@
     }
 
     #[test]
-    fn damage_and_lengths_without_end_are_told() {
+    fn damaged_and_oversized_frames_are_errors() {
         let good = hello().encode().expect("it fits");
         for at in 4..good.len() {
             let mut bytes = good.clone();
