--- a/crates/peerlink/src/lane.rs
+++ b/crates/peerlink/src/lane.rs
@@ -1,41 +1,42 @@
-//! What the two threads of one connection do; without its socket and without the threads.
+//! The loops of a connection's reader and writer thread, independent of sockets and threads.
 //!
-//! - Pieces are written in the order given. What was given before the giver's end is still written; then the connection ends.
-//! - *Taken* is told of a piece after all of it was written, and of no other.
-//! - *Ended* is told once, by the reader, as its last word: whichever side ends first ends the connection for both. A *taken*
-//!   may still come behind it, as the two threads have no order; the mesh passes over one of a connection that it has forgotten.
+//! - Buffers are written in the order of the queue. Those queued before the sender is dropped are still written; then the
+//!   connection is closed.
+//! - `Taken` is reported for a buffer only after all of it was written.
+//! - `Ended` is reported once, by the reader, as its last event: whichever side ends first closes the connection for both. A
+//!   `Taken` may still follow, as the two threads are not ordered; the mesh ignores it for a connection it has removed.
 
 use std::io;
 
 use sync::{QueueReceiver, injected};
 
-/// Bytes read at a time.
+/// Size of the read buffer in bytes.
 const READ: usize = 16 << 10;
 
-/// The connection as its threads see it.
+/// The byte stream of a connection.
 pub(crate) trait Way {
-    /// Waits for bytes; 0 at the end.
+    /// Waits for bytes; returns 0 at the end of the stream.
     fn read(&self, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes all, or fails: at the latest when the other side has taken nothing for a stated time.
+    /// Writes all bytes, or fails at the latest after the write timeout without progress.
     fn write_all(&self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Ends it both ways; whoever waits for it returns.
+    /// Closes both directions and wakes blocked readers and writers.
     fn end(&self);
 }
 
-/// What is told of a connection.
+/// An event on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Came {
-    /// Bytes came.
+    /// Bytes were received.
     Bytes(Vec<u8>),
-    /// So many bytes were written.
+    /// This number of bytes was written.
     Taken(usize),
-    /// It has ended.
+    /// The connection was closed.
     Ended,
 }
 
-/// Reads until the end. `tell` says whether anybody listens.
+/// Reads until the connection ends. `tell` returns whether the receiver of events still exists.
 pub(crate) fn read_in(way: &impl Way, tell: impl Fn(Came) -> bool) {
     let mut buffer = [0; READ];
     loop {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Writes what is given, until there is no more or the connection breaks; then ends it, so that its reader tells.
+/// Writes queued buffers until the queue closes or a write fails, then closes the connection, so that the reader reports it.
 pub(crate) fn write_out(way: &impl Way, pieces: &QueueReceiver<Vec<u8>>, tell: impl Fn(Came) -> bool) {
     while let Some(bytes) = pieces.receive() {
         if injected!(TakenBeforeWritten) {
--- a/crates/peerlink/src/lib.rs
+++ b/crates/peerlink/src/lib.rs
@@ -1,8 +1,8 @@
-//! The thin shell of `peer`: sockets and threads for its connections, and the files that keep lives.
+//! I/O layer of `peer`: sockets, threads and the files that store lives.
 //!
-//! A gateway's next life is on its disk before the first word is said in it, and what it sees of its peers' lives is on
-//! the disk before it is told of. One plain thread owns the mesh; each connection has a reader and a writer, so that a peer that
-//! takes nothing holds nobody up. None of it runs on the gateway's coroutines.
+//! A gateway's next life is stored on disk before the first message is sent in it, and the lives seen of its peers are
+//! stored before users are notified of them. One OS thread owns the mesh. Each connection has a reader and a writer thread,
+//! so that a peer that reads nothing blocks nobody else. None of this runs on the gateway's coroutines.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/peerlink/src/peers.rs
+++ b/crates/peerlink/src/peers.rs
@@ -15,41 +15,41 @@
 use sync::QueueSender;
 
 use crate::lane::{self, Came, Way};
-use crate::lives::{Keep, LifeError};
+use crate::lives::{LifeError, LifeStore};
 
-/// A connect takes so long at most.
-const CONNECT: Duration = Duration::from_millis(500);
-/// A connection whose other side takes nothing for so long is broken; longer than any silence that the mesh bears.
-const STUCK: Duration = Duration::from_secs(10);
-/// The longest sleep of the mesh's thread.
-const LONGEST: Micros = 200_000;
+/// Timeout of a connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a write without progress; longer than any silence that the mesh tolerates.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum sleep of the mesh thread, in microseconds.
+const MAX_SLEEP: Micros = 200_000;
 
-/// Settings.
+/// Options of the peer connections.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
     /// This gateway's name.
     pub name: PeerName,
-    /// Where its peers connect; port 0 lets the system choose.
+    /// Address for incoming connections of peers; port 0 lets the system choose.
     pub listen: SocketAddr,
-    /// Its peers, and where they listen.
+    /// The peers and their listen addresses.
     pub peers: Vec<(PeerName, SocketAddr)>,
-    /// What tells this site from another.
+    /// Identifies the site.
     pub site: u64,
-    /// Folder for its lives.
+    /// Folder of the files that store lives.
     pub folder: PathBuf,
 }
 
-/// Why peers could not be started.
+/// Why the peer connections could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The address for peers.
+    /// The address cannot be listened on.
     #[error("cannot listen for peers on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The files of lives.
+    /// The life could not begin.
     #[error(transparent)]
     Life(#[from] LifeError),
-    /// Threads.
-    #[error("no thread for peers: {0}")]
+    /// A thread could not be started.
+    #[error("cannot start a thread for peers: {0}")]
     Thread(io::Error),
 }
 
@@ -59,12 +59,12 @@
     Came(Conn, Came),
     Ask(PeerName, Kind, Vec<u8>, Micros),
     Answer(Conn, u64, Option<Vec<u8>>),
-    /// To this peer alone, or to all.
+    /// Sends a note to one peer, or to all.
     Note(Option<PeerName>, Kind, Vec<u8>),
     Stop,
 }
 
-/// A gateway's peers. Dropped, it ends its connections.
+/// A gateway's peer connections, closed on drop.
 pub struct Peers {
     events: Sender<Event>,
     address: SocketAddr,
@@ -73,30 +73,30 @@
 }
 
 impl Peers {
-    /// Begins the next life and starts talking. `tell` is called on a thread of its own and must not wait.
+    /// Begins the next life and starts connecting. `tell` is called on the mesh thread and must not block.
     ///
     /// # Errors
-    /// The address cannot be listened on, or a life cannot begin: nothing is said without one on the disk.
+    /// The address cannot be listened on, a thread cannot start, or no life can begin: nothing is sent without a stored life.
     pub fn start(options: PeerOptions, tell: impl Fn(Told) + Send + 'static) -> Result<Peers, StartError> {
-        let (keep, life) = Keep::begin(&options.folder)?;
+        let (store, life) = LifeStore::open_and_begin(&options.folder)?;
         let failed = |e| StartError::Listen(options.listen, e);
         let listener = TcpListener::bind(options.listen).map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let (events, inbox) = mpsc::channel();
-        let accepts = events.clone();
+        let accept_events = events.clone();
         let closing = Arc::new(AtomicBool::new(false));
-        let closed = closing.clone();
-        let named = |name: &str| thread::Builder::new().name(name.to_owned());
-        named("peer-accept")
+        let stopped = closing.clone();
+        let thread_named = |name: &str| thread::Builder::new().name(name.to_owned());
+        thread_named("peer-accept")
             .spawn(move || {
                 for stream in listener.incoming() {
-                    if closed.load(Ordering::SeqCst) {
+                    if stopped.load(Ordering::SeqCst) {
                         return;
                     }
                     match stream {
-                        // The mesh's thread ends with the process only.
-                        Ok(stream) => drop(accepts.send(Event::Accepted(stream))),
-                        // Out of descriptors: let some close.
+                        // The mesh thread may have stopped; the connection is then dropped.
+                        Ok(stream) => drop(accept_events.send(Event::Accepted(stream))),
+                        // Probably out of file descriptors: wait for some to be closed.
                         Err(_) => thread::sleep(Duration::from_millis(10)),
                     }
                 }
@@ -104,52 +104,52 @@
             .map_err(StartError::Thread)?;
         let names = options.peers.iter().map(|p| p.0.clone()).collect();
         let mesh = MeshOptions::new(options.name.clone(), names, options.site);
-        let mesh = Mesh::new(mesh, life, keep.seen().clone(), rand::random());
-        let mut shell = Shell {
+        let mesh = Mesh::new(mesh, life, store.peer_lives().clone(), rand::random());
+        let mut peer_loop = PeerLoop {
             mesh,
-            keep,
+            store,
             clock: Clock::new(),
             addresses: options.peers.into_iter().collect(),
             connections: BTreeMap::new(),
-            next: 0,
+            last_connection: 0,
             events: events.clone(),
             tell: Box::new(tell),
         };
-        named("peers").spawn(move || shell.run(&inbox)).map_err(StartError::Thread)?;
+        thread_named("peers").spawn(move || peer_loop.run(&inbox)).map_err(StartError::Thread)?;
         Ok(Peers { events, address, life, closing })
     }
 
-    /// Where its peers connect.
+    /// The address for incoming connections of peers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The life that it began.
+    /// The life that began with the start.
     pub fn life(&self) -> Life {
         self.life
     }
 
     fn send(&self, event: Event) {
-        // The thread ends with the process only.
+        // The mesh thread may have stopped; there is nobody to notify then.
         let _ = self.events.send(event);
     }
 
-    /// Asks a peer; its one outcome is told within the time.
+    /// Asks a peer; the single outcome is reported within the given time.
     pub fn ask(&self, peer: &PeerName, kind: Kind, body: Vec<u8>, within: Micros) {
         self.send(Event::Ask(peer.clone(), kind, body, within));
     }
 
-    /// Answers a question, or passes it.
+    /// Answers a question; `None` declines it.
     pub fn answer(&self, conn: Conn, id: u64, body: Option<Vec<u8>>) {
         self.send(Event::Answer(conn, id, body));
     }
 
-    /// Tells all peers that are connected.
+    /// Sends a one-way message to all connected peers.
     pub fn note(&self, kind: Kind, body: Vec<u8>) {
         self.send(Event::Note(None, kind, body));
     }
 
-    /// Tells one peer, if it is connected; what it leaves untaken is bounded as all that is said to it.
+    /// Sends a one-way message to a peer if it is connected. It counts towards the peer's limit of unwritten bytes.
     pub fn note_to(&self, peer: &PeerName, kind: Kind, body: Vec<u8>) {
         self.send(Event::Note(Some(peer.clone()), kind, body));
     }
@@ -159,52 +159,52 @@
     fn drop(&mut self) {
         self.closing.store(true, Ordering::SeqCst);
         self.send(Event::Stop);
-        // The listener wakes from its wait and ends.
+        // Wakes the accept thread, which then ends.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
     }
 }
 
-struct Shell {
+struct PeerLoop {
     mesh: Mesh,
-    keep: Keep,
+    store: LifeStore,
     clock: Clock,
     addresses: BTreeMap<PeerName, SocketAddr>,
-    /// The writer's inbox, and the socket to end.
+    /// The writer's queue, and the socket to close.
     connections: BTreeMap<Conn, (QueueSender<Vec<u8>>, Arc<TcpStream>)>,
-    next: u64,
+    last_connection: u64,
     events: Sender<Event>,
     tell: Box<dyn Fn(Told) + Send>,
 }
 
-impl Shell {
+impl PeerLoop {
     fn run(&mut self, inbox: &Receiver<Event>) {
         let mut out = Vec::new();
         self.mesh.handle(self.clock.now(), Input::Tick, &mut out);
         loop {
-            if !self.carry_out(std::mem::take(&mut out)) {
+            if !self.apply_outputs(std::mem::take(&mut out)) {
                 return;
             }
-            let wait = (self.mesh.next_due() - self.clock.now()).clamp(1, LONGEST);
+            let wait = (self.mesh.next_due() - self.clock.now()).clamp(1, MAX_SLEEP);
             let event = match inbox.recv_timeout(Duration::from_micros(wait as u64)) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => break,
                 Ok(event) => Some(event),
                 Err(RecvTimeoutError::Timeout) => None,
             };
-            self.take(event, &mut out);
+            self.handle_event(event, &mut out);
         }
         self.connections.values().for_each(|(_, stream)| stream.end());
     }
 
-    fn take(&mut self, event: Option<Event>, out: &mut Vec<Output>) {
+    fn handle_event(&mut self, event: Option<Event>, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let input = match event {
             None | Some(Event::Stop) => Input::Tick,
             Some(Event::Dialled(peer, None)) => Input::NotDialled { peer },
-            Some(Event::Dialled(peer, Some(stream))) => match self.open(stream) {
+            Some(Event::Dialled(peer, Some(stream))) => match self.open_connection(stream) {
                 Ok(conn) => Input::Dialled { peer, conn },
                 Err(_) => Input::NotDialled { peer },
             },
-            Some(Event::Accepted(stream)) => match self.open(stream) {
+            Some(Event::Accepted(stream)) => match self.open_connection(stream) {
                 Ok(conn) => Input::Accepted { conn },
                 Err(_) => Input::Tick,
             },
@@ -236,44 +236,44 @@
         self.mesh.handle(now, input, out);
     }
 
-    /// Whether it goes on.
-    fn carry_out(&mut self, mut out: Vec<Output>) -> bool {
-        // Danger: a life that was told of and is forgotten by the disk would be taken for a new one later.
-        if let Err(error) = self.keep.see(self.mesh.lives()) {
-            tracing::error!(%error, "lives of peers cannot be kept; a disk of theirs that is put back may go unnoticed");
+    /// Carries out the outputs; returns whether the loop continues.
+    fn apply_outputs(&mut self, mut out: Vec<Output>) -> bool {
+        // Stored before users are notified: a life that was reported but not stored would count as new later.
+        if let Err(error) = self.store.store_peer_lives(self.mesh.lives()) {
+            tracing::error!(%error, "cannot store the lives of peers; a restored disk of a peer may go undetected");
         }
-        let mut n = 0;
-        while n < out.len() {
-            match &out[n] {
+        let mut index = 0;
+        while index < out.len() {
+            match &out[index] {
                 Output::Dial(peer) => self.dial(peer.clone()),
                 Output::Write(conn, bytes) => {
                     if let Some((writer, _)) = self.connections.get(conn) {
-                        // A writer that has ended has told of it.
+                        // A writer that has ended already closed the connection, which the reader reports.
                         writer.send(bytes.clone());
                     }
                 }
                 Output::Close(conn) => {
-                    // Its writer ends once it has written what it has.
+                    // The writer ends after writing its queue.
                     self.connections.remove(conn);
                 }
                 Output::Tell(Told::Superseded { by, seen }) => {
-                    tracing::warn!(%by, %seen, "a later life of this gateway was seen: its disk was put back or emptied");
-                    match self.keep.after(Some(*seen)) {
+                    tracing::warn!(%by, %seen, "a later life of this gateway was seen: its disk was restored or emptied");
+                    match self.store.begin_after(Some(*seen)) {
                         Ok(life) => {
                             (self.tell)(Told::Superseded { by: by.clone(), seen: *seen });
                             let now = self.clock.now();
                             self.mesh.renew(now, life, &mut out);
                         }
                         Err(error) => {
-                            // Danger: without a life on the disk nothing may be said. It stays alone.
-                            tracing::error!(%error, "no new life can begin; this gateway talks to no peer any more");
+                            // Without a stored life nothing may be sent, so this gateway stays disconnected.
+                            tracing::error!(%error, "cannot begin a new life; this gateway no longer connects to any peer");
                             return false;
                         }
                     }
                 }
                 Output::Tell(told) => (self.tell)(told.clone()),
             }
-            n += 1;
+            index += 1;
         }
         true
     }
@@ -281,22 +281,22 @@
     fn dial(&self, peer: PeerName) {
         let (events, address) = (self.events.clone(), self.addresses.get(&peer).copied());
         let name = peer.clone();
-        let dials = thread::Builder::new().name("peer-dial".into()).spawn(move || {
-            let stream = address.and_then(|a| TcpStream::connect_timeout(&a, CONNECT).ok());
+        let dial_thread = thread::Builder::new().name("peer-dial".into()).spawn(move || {
+            let stream = address.and_then(|a| TcpStream::connect_timeout(&a, CONNECT_TIMEOUT).ok());
             let _ = events.send(Event::Dialled(peer, stream));
         });
-        if dials.is_err() {
+        if dial_thread.is_err() {
             let _ = self.events.send(Event::Dialled(name, None));
         }
     }
 
-    fn open(&mut self, stream: TcpStream) -> io::Result<Conn> {
+    fn open_connection(&mut self, stream: TcpStream) -> io::Result<Conn> {
         stream.set_nodelay(true)?;
-        self.next += 1;
-        let conn = Conn(self.next);
-        // Danger: a peer that takes nothing holds the writer, and with it both threads and the descriptor, long after the mesh has
-        // given the connection up. Harm: a peer that stands still for so long with its buffers full has to be dialled again.
-        stream.set_write_timeout(Some(STUCK))?;
+        self.last_connection += 1;
+        let conn = Conn(self.last_connection);
+        // Without a timeout, a peer that reads nothing would block the writer, and keep both threads and the descriptor, long
+        // after the mesh removed the connection. The cost: a peer that stalls for so long with full buffers is redialled.
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let (writer, pieces) = sync::queue();
         let (told, taken) = (self.events.clone(), self.events.clone());
         let stream = Arc::new(stream);
@@ -308,7 +308,7 @@
             lane::write_out(&*writes, &pieces, |came| taken.send(Event::Came(conn, came)).is_ok());
         });
         if let Err(error) = writer_thread {
-            // Danger: its reader would keep the connection, and the peer would believe in it.
+            // Otherwise the reader would keep the connection open, and the peer would consider it usable.
             stream.end();
             return Err(error);
         }
@@ -327,7 +327,7 @@
     }
 
     fn end(&self) {
-        // One that has ended already needs no end.
+        // An error means that the connection is closed already.
         let _ = self.shutdown(Shutdown::Both);
     }
 }
@@ -337,13 +337,13 @@
     use super::*;
 
     #[test]
-    fn a_peer_that_takes_nothing_holds_no_thread() {
+    fn peer_that_reads_nothing_blocks_no_thread() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let peer = TcpStream::connect(listener.local_addr().expect("its address")).expect("it connects");
         let stream = listener.accept().expect("it is accepted").0;
         stream.set_write_timeout(Some(Duration::from_millis(20))).expect("a time for writes");
         let (pieces, given) = sync::queue();
-        // More than the system takes for a peer that does not read.
+        // More than the system buffers for a peer that does not read.
         pieces.send(vec![0; 64 << 20]);
         let (tell, told) = mpsc::channel();
         thread::scope(|scope| {
--- a/crates/peerlink/tests/sockets.rs
+++ b/crates/peerlink/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Peers on real sockets: they meet, answer, come back, and notice a disk that was put back.
+//! Peers on real sockets: connecting, answering, reconnecting, and detecting a restored disk.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use peer::{Incarnation, Kind, NoAnswer, PeerName, Told};
 use peerlink::{PeerOptions, Peers, StartError};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(
     name: &str,
@@ -16,7 +16,7 @@
     other: (&str, SocketAddr),
     folder: &Path,
 ) -> (Peers, Receiver<Told>) {
-    let (tell, told) = mpsc::channel();
+    let (tell, notifications) = mpsc::channel();
     let options = PeerOptions {
         name: name.into(),
         listen,
@@ -27,82 +27,83 @@
     let peers = Peers::start(options, move |t| {
         let _ = tell.send(t);
     });
-    (peers.expect("it starts"), told)
+    (peers.expect("it starts"), notifications)
 }
 
-fn next<T>(told: &Receiver<Told>, what: &str, pick: impl Fn(Told) -> Option<T>) -> T {
+fn wait_for<T>(notifications: &Receiver<Told>, what: &str, pick: impl Fn(Told) -> Option<T>) -> T {
     loop {
-        let t = told.recv_timeout(LONG).unwrap_or_else(|_| panic!("never: {what}"));
+        let t = notifications.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("never: {what}"));
         if let Some(found) = pick(t) {
             return found;
         }
     }
 }
 
-fn up(told: &Receiver<Told>) -> Incarnation {
-    next(told, "up", |t| if let Told::Up { life, .. } = t { Some(life.incarnation) } else { None })
+fn wait_for_up(notifications: &Receiver<Told>) -> Incarnation {
+    wait_for(
+        notifications,
+        "up",
+        |t| if let Told::Up { life, .. } = t { Some(life.incarnation) } else { None },
+    )
 }
 
-/// An address that nobody else is given until its peer listens there.
+/// A loopback address reserved for a peer until it listens there.
 fn address() -> SocketAddr {
     loopback::address().expect("an address")
 }
 
 #[test]
-fn two_meet_ask_and_notice_that_a_disk_was_put_back() {
+fn peers_connect_answer_and_detect_a_restored_disk() {
     let (da, db) = (tempfile::tempdir().expect("a folder"), tempfile::tempdir().expect("a folder"));
     let (at_a, at_b) = (address(), address());
-    let (a, told_a) = start("a", at_a, ("b", at_b), da.path());
-    let (b, told_b) = start("b", at_b, ("a", at_a), db.path());
-    assert_eq!((up(&told_a), up(&told_b)), (Incarnation(1), Incarnation(1)));
+    let (a, notifications_a) = start("a", at_a, ("b", at_b), da.path());
+    let (b, notifications_b) = start("b", at_b, ("a", at_a), db.path());
+    assert_eq!(
+        (wait_for_up(&notifications_a), wait_for_up(&notifications_b)),
+        (Incarnation(1), Incarnation(1))
+    );
     a.ask(&PeerName::from("b"), Kind(3), b"who".to_vec(), 10_000_000);
-    let (conn, id) = next(&told_b, "asked", |t| match t {
+    let (conn, id) = wait_for(&notifications_b, "asked", |t| match t {
         Told::Asked { conn, id, kind: Kind(3), body, .. } if body == b"who" => Some((conn, id)),
         _ => None,
     });
     b.answer(conn, id, Some(b"me".to_vec()));
-    let outcome =
-        next(
-            &told_a,
-            "answered",
-            |t| if let Told::Answered { outcome, .. } = t { Some(outcome) } else { None },
-        );
+    let outcome = wait_for(&notifications_a, "answered", |t| {
+        if let Told::Answered { outcome, .. } = t { Some(outcome) } else { None }
+    });
     assert_eq!(outcome, Ok(b"me".to_vec()));
     a.note(Kind(4), b"news".to_vec());
-    next(&told_b, "noted", |t| matches!(t, Told::Noted { kind: Kind(4), .. }).then_some(()));
-    // a's disk is copied, a lives twice more, then the copy is put back.
+    wait_for(&notifications_b, "noted", |t| matches!(t, Told::Noted { kind: Kind(4), .. }).then_some(()));
+    // Copies a's stored life, restarts a twice, then restores the copy.
     let copy = std::fs::read(da.path().join("life")).expect("its life");
     let mut a = a;
-    let mut told_a = told_a;
+    let mut notifications_a = notifications_a;
     for n in 2..=3 {
         drop(a);
-        (a, told_a) = start("a", at_a_again(at_a), ("b", at_b), da.path());
-        assert_eq!(up(&told_b), Incarnation(n));
+        (a, notifications_a) = start("a", wait_until_free(at_a), ("b", at_b), da.path());
+        assert_eq!(wait_for_up(&notifications_b), Incarnation(n));
     }
     drop(a);
     std::fs::write(da.path().join("life"), copy).expect("put back");
-    let (a, told_a2) = start("a", at_a_again(at_a), ("b", at_b), da.path());
-    drop(told_a);
+    let (a, notifications_a2) = start("a", wait_until_free(at_a), ("b", at_b), da.path());
+    drop(notifications_a);
     assert_eq!(a.life().incarnation, Incarnation(2), "as its disk says");
-    next(&told_a2, "superseded", |t| matches!(t, Told::Superseded { .. }).then_some(()));
-    assert_eq!(up(&told_b), Incarnation(4));
-    // With b gone every question has its outcome.
-    up(&told_a2);
+    wait_for(&notifications_a2, "superseded", |t| matches!(t, Told::Superseded { .. }).then_some(()));
+    assert_eq!(wait_for_up(&notifications_b), Incarnation(4));
+    // A question has an outcome also without a connected peer.
+    wait_for_up(&notifications_a2);
     drop(b);
-    next(&told_a2, "down", |t| matches!(t, Told::Down { .. }).then_some(()));
+    wait_for(&notifications_a2, "down", |t| matches!(t, Told::Down { .. }).then_some(()));
     a.ask(&PeerName::from("b"), Kind(3), Vec::new(), 10_000_000);
-    let outcome =
-        next(
-            &told_a2,
-            "answered",
-            |t| if let Told::Answered { outcome, .. } = t { Some(outcome) } else { None },
-        );
+    let outcome = wait_for(&notifications_a2, "answered", |t| {
+        if let Told::Answered { outcome, .. } = t { Some(outcome) } else { None }
+    });
     assert_eq!(outcome, Err(NoAnswer::NotUp));
 }
 
-/// The port may not be free at once after its holder was dropped.
-fn at_a_again(at: SocketAddr) -> SocketAddr {
-    let end = std::time::Instant::now() + LONG;
+/// Waits until the port is free, which may take a moment after its holder was dropped.
+fn wait_until_free(at: SocketAddr) -> SocketAddr {
+    let end = std::time::Instant::now() + TIMEOUT;
     while std::net::TcpListener::bind(at).is_err() {
         assert!(std::time::Instant::now() < end, "{at} is not free again");
         std::thread::yield_now();
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_damaged_life_is_told_and_not_taken_for_none() {
+fn damaged_life_is_an_error_and_not_treated_as_missing() {
     let folder = tempfile::tempdir().expect("a folder");
     let (a, _told) = start("a", address(), ("b", address()), folder.path());
     drop(a);
