--- a/crates/dispatch/src/dispatcher/retry_tokens.rs
+++ b/crates/dispatch/src/dispatcher/retry_tokens.rs
@@ -8,8 +8,8 @@
 
 impl<P> Dispatcher<P> {
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does the first attempt of a
-    /// request that is marked as a client's retry. Without a token a request is refused with `retry_after`, in
-    /// microseconds, as its advice.
+    /// request that is marked as a client's retry. Without a token a request is refused with `retry_after`,
+    /// in microseconds, as its advice.
     pub fn set_retry_tokens(&mut self, now: Micros, shard: ShardId, tokens: u32, retry_after: Micros) {
         self.advance(now);
         self.events.push_back(Event::RetryAllowance { shard, tokens, retry_after });
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -11,10 +11,12 @@
 #![warn(missing_docs)]
 
 mod attempt;
+mod counts;
 mod dispatcher;
 mod node;
 
 pub use attempt::{AttemptId, Command, Verdict};
+pub use counts::RequestCounts;
 pub use decisions::{Micros, NodeId, NodeLook, NodeState, Outcome, RequestId};
-pub use dispatcher::{Dispatcher, RequestCounts};
+pub use dispatcher::Dispatcher;
 pub use node::{ListedNode, NodeView};
