--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -103,7 +103,7 @@
     pub fn poll(&mut self) -> Result<Option<Word>, ChannelError> {
         loop {
             let Some(frame) = self.decoder.poll()? else { return Ok(None) };
-            let word = match frame {
+            let message = match frame {
                 Frame::Hello(hello) if !self.greeted => {
                     if hello.site != self.site {
                         return Err(ChannelError::Site(hello.site));
@@ -130,7 +130,7 @@
                 // A frame of a later version.
                 Frame::Unknown => continue,
             };
-            return Ok(Some(word));
+            return Ok(Some(message));
         }
     }
 }
--- a/crates/peerlink/src/peers.rs
+++ b/crates/peerlink/src/peers.rs
@@ -297,15 +297,15 @@
         // Without a timeout, a peer that reads nothing would block the writer, and keep both threads and the descriptor, long
         // after the mesh removed the connection. The cost: a peer that stalls for so long with full buffers is redialled.
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        let (writer, pieces) = sync::queue();
-        let (told, taken) = (self.events.clone(), self.events.clone());
+        let (writer, queue) = sync::queue();
+        let (reader_events, writer_events) = (self.events.clone(), self.events.clone());
         let stream = Arc::new(stream);
-        let (reads, writes) = (stream.clone(), stream.clone());
-        thread::Builder::new()
-            .name("peer-read".into())
-            .spawn(move || lane::read_in(&*reads, |came| told.send(Event::Came(conn, came)).is_ok()))?;
+        let (read_half, write_half) = (stream.clone(), stream.clone());
+        thread::Builder::new().name("peer-read".into()).spawn(move || {
+            lane::read_in(&*read_half, |came| reader_events.send(Event::Came(conn, came)).is_ok())
+        })?;
         let writer_thread = thread::Builder::new().name("peer-write".into()).spawn(move || {
-            lane::write_out(&*writes, &pieces, |came| taken.send(Event::Came(conn, came)).is_ok());
+            lane::write_out(&*write_half, &queue, |came| writer_events.send(Event::Came(conn, came)).is_ok());
         });
         if let Err(error) = writer_thread {
             // Otherwise the reader would keep the connection open, and the peer would consider it usable.
