--- a/crates/shadow/examples/trial.rs
+++ b/crates/shadow/examples/trial.rs
@@ -1,7 +1,8 @@
-//! Tries a candidate in a fleet in virtual time and prints its verdict, for each case: `trial [COMPARED] [SEED]`.
+//! Tests a candidate in a simulated fleet in virtual time, and prints the verdict for each case: `trial [COMPARED] [SEED]`.
 //!
-//! Four gateways, clients that read and write at all of them, notes lost, doubled and out of order; every fifth of the run one
-//! gateway's power goes, and once halves are cut from each other. The counts are held against the model's own.
+//! Four gateways, clients that read and write at all of them, and messages that are lost, duplicated and reordered. After each
+//! fifth of the run one gateway loses its power, and once the fleet is partitioned into halves. The counters are compared with
+//! those of the model.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -12,23 +13,23 @@
 fn run(seed: u64, fault: Fault, is_calm: bool, compared: u64) -> World {
     let mut world = World::new(seed, 4, fault, Plant::None);
     world.start_all();
-    for turn in 1..=5u64 {
-        let so_far = move |w: &World| w.compared() >= compared * turn / 5;
-        assert!(world.run(3_600_000_000, so_far), "the clients stopped");
-        let of = (turn as usize) % 4;
-        if turn < 5 && !is_calm {
-            world.kill(of);
+    for round in 1..=5u64 {
+        let is_reached = move |w: &World| w.compared() >= compared * round / 5;
+        assert!(world.run(3_600_000_000, is_reached), "the clients stopped");
+        let gateway = (round as usize) % 4;
+        if round < 5 && !is_calm {
+            world.kill(gateway);
             world.run(50_000, |_| false);
-            world.start(of);
+            world.start(gateway);
         }
-        if turn == 2 && !is_calm {
+        if round == 2 && !is_calm {
             world.cut =
                 [(0, 2), (0, 3), (1, 2), (1, 3)].iter().flat_map(|&(a, b)| [(a, b), (b, a)]).collect();
             world.run(1_000_000, |_| false);
             world.cut.clear();
         }
     }
-    assert!(world.settle(), "they do not come to say the same");
+    assert!(world.settle(), "the gateways do not converge");
     world
 }
 
@@ -46,7 +47,7 @@
         ("a node that answers with anything", Fault::Lie),
         ("a node that answers three times", Fault::Twice),
     ];
-    let mut is_bad = false;
+    let mut has_failed = false;
     for (name, fault) in cases {
         let world = run(seed, fault, name.contains("nothing killed"), compared);
         let verdict = world.verdict(0);
@@ -54,7 +55,7 @@
         let lost: u64 = killed.map(|truth| truth.sent - truth.sent_when_kept).sum();
         let (sent, truth) = (model::sent(&verdict), world.sent());
         let found: Vec<(u32, u64)> = verdict.wrong().collect();
-        let strange = found.iter().filter(|extent| !world.differed.contains(extent)).count();
+        let unexpected = found.iter().filter(|extent| !world.differed.contains(extent)).count();
         println!("== {name}, seed {seed}, {} s of virtual time", world.now / 1_000_000);
         print!("{verdict}");
         println!(
@@ -64,14 +65,15 @@
         let (notes, bytes) = (world.notes.0 as f64 / seconds, world.notes.1 as f64 / seconds);
         println!("for each gateway {notes:.0} notes and {bytes:.0} bytes a second");
         println!(
-            "extents that differ: {} at the fault; found {}, {strange} of them in error\n",
+            "extents that differ: {} at the fault; found {}, {unexpected} of them in error\n",
             world.differed.len(),
             found.len()
         );
         let is_expected = found.is_empty() == matches!(fault, Fault::None | Fault::Stall | Fault::Twice);
-        is_bad |= sent > truth || sent + lost < truth || (strange > 0 && fault != Fault::Lie) || !is_expected;
+        has_failed |=
+            sent > truth || sent + lost < truth || (unexpected > 0 && fault != Fault::Lie) || !is_expected;
     }
-    if is_bad {
+    if has_failed {
         println!("NOT as it should be");
         std::process::exit(1);
     }
--- a/crates/shadow/src/candidate.rs
+++ b/crates/shadow/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Shard maps: which shard holds which extent of a volume, and a candidate for the next one.
+//! Shard maps, which assign the extents of volumes to shards, and the candidate for the next map.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,117 +6,117 @@
 
 use crate::digest::number_of;
 
-/// The extents of one volume and the shards that hold them.
+/// The shards of one volume's extents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VolumeMap {
-    /// The volume.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
-    /// Its size in blocks.
+    /// Size of the volume in blocks.
     pub blocks: u64,
-    /// Size of an extent in blocks; the last one may be cut short by the end of the volume.
+    /// Size of an extent in blocks; the last extent may be shorter.
     pub extent_blocks: u64,
     /// The shard of each extent, in order.
     pub shards: Vec<u32>,
 }
 
 impl VolumeMap {
-    /// How many extents its blocks make.
+    /// Number of extents of the volume.
     pub fn extents(&self) -> u64 {
         self.blocks.div_ceil(self.extent_blocks.max(1))
     }
 }
 
-/// A shard map that is tried beside the one in force.
+/// A shard map that is tested beside the current one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its number, from 1: another map has another number, and draws another slice.
+    /// Number of the candidate, from 1. Each map has its own number, which also determines the slice.
     pub number: u64,
-    /// Which part of the extents is tried, 0 to 1.
+    /// Fraction of the extents in the slice, 0 to 1.
     pub slice: f64,
-    /// The same for single volumes, in place of `slice`.
+    /// Fractions of single volumes, which override `slice`.
     pub parts: BTreeMap<u32, f64>,
-    /// The map, whole: each volume of the one in force, once.
+    /// The complete map: each volume of the current one exactly once.
     pub volumes: Vec<VolumeMap>,
 }
 
-/// Why a candidate is not tried.
+/// Why a candidate is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CandidateError {
-    /// Its number is 0, which stands for none.
+    /// Its number is 0, which means no candidate.
     #[error("a candidate's number is 0; give it one from 1, another than any map before it had")]
     Number,
-    /// The part of the whole is no part.
+    /// The slice is not between 0 and 1.
     #[error("the slice is {0}; give a part from 0 to 1")]
     Slice(f64),
-    /// The part of a volume is no part.
+    /// The part of a volume is not between 0 and 1.
     #[error("the part of volume {nsid} is {part}; give one from 0 to 1")]
     Part {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// What was given.
+        /// The given value.
         part: f64,
     },
     /// A part is given for a volume that the candidate does not have.
     #[error("a part is given for volume {0}, which the candidate does not have; leave it out")]
     PartOfNone(u32),
-    /// A volume is there twice: its extents overlap.
+    /// A volume is listed twice, so its extents overlap.
     #[error("volume {0} is there twice, so that its extents overlap; leave one out")]
     Twice(u32),
-    /// A volume of the map in force is left out.
+    /// A volume of the current map is missing.
     #[error("volume {0} of the map in force is left out, with all its extents; add it")]
     VolumeLeftOut(u32),
-    /// A volume that is not in the map in force.
+    /// A volume is not in the current map.
     #[error("volume {0} is not in the map in force; leave it out")]
     VolumeUnknown(u32),
-    /// A volume without size, or extents without one.
+    /// The size of a volume or of its extents is 0.
     #[error("volume {nsid} has {blocks} blocks in extents of {extent_blocks}; give both a size")]
     Empty {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// Its blocks.
+        /// Blocks of the volume.
         blocks: u64,
         /// Blocks of an extent.
         extent_blocks: u64,
     },
-    /// Volume or extents have another size than in the map in force.
+    /// The size of a volume or of its extents differs from the current map.
     #[error(
         "volume {nsid} has {blocks} blocks in extents of {extent_blocks}, but {current_blocks} in extents of \
          {current_extent} in the map in force; sizes cannot be changed by a candidate"
     )]
     Size {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
         /// Blocks in the candidate.
         blocks: u64,
         /// Blocks of an extent in the candidate.
         extent_blocks: u64,
-        /// Blocks in force.
+        /// Blocks in the current map.
         current_blocks: u64,
-        /// Blocks of an extent in force.
+        /// Blocks of an extent in the current map.
         current_extent: u64,
     },
-    /// Extents have no shard.
+    /// Extents without a shard.
     #[error("volume {nsid}: extent {extent} is left out; name its shard ({have} of {need} are named)")]
     ExtentLeftOut {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
         /// The first extent without a shard.
         extent: u64,
-        /// Shards that are named.
+        /// Number of listed shards.
         have: u64,
-        /// Extents that there are.
+        /// Number of extents.
         need: u64,
     },
-    /// More shards than extents: two would overlap, or lie behind the end.
+    /// More shards than extents: some extents would overlap, or lie beyond the end of the volume.
     #[error(
         "volume {nsid}: {have} shards are named for {need} extents, the first too many is that of {need}"
     )]
     ExtentOver {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// Shards that are named.
+        /// Number of listed shards.
         have: u64,
-        /// Extents that there are.
+        /// Number of extents.
         need: u64,
     },
     /// A shard has no nodes.
@@ -124,7 +124,7 @@
         "volume {nsid}: extent {extent} lies on shard {shard}, which has no node; name another or add one"
     )]
     NoNode {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
         /// The extent.
         extent: u64,
@@ -133,23 +133,23 @@
     },
 }
 
-fn is_part(part: f64) -> bool {
+fn is_fraction(part: f64) -> bool {
     (0.0..=1.0).contains(&part)
 }
 
 impl Candidate {
-    /// Checks it against the map in force and the shards that have nodes.
+    /// Checks the candidate against the current map and the shards that have nodes.
     ///
     /// # Errors
-    /// The first thing that does not fit, with its volume, extent and shard.
+    /// The first mismatch, with its volume, extent and shard.
     pub fn check(&self, current: &[VolumeMap], shards: &BTreeSet<u32>) -> Result<(), CandidateError> {
         if self.number == 0 {
             return Err(CandidateError::Number);
         }
-        if !is_part(self.slice) {
+        if !is_fraction(self.slice) {
             return Err(CandidateError::Slice(self.slice));
         }
-        if let Some((&nsid, &part)) = self.parts.iter().find(|(_, part)| !is_part(**part)) {
+        if let Some((&nsid, &part)) = self.parts.iter().find(|(_, part)| !is_fraction(**part)) {
             return Err(CandidateError::Part { nsid, part });
         }
         let mut seen = BTreeSet::new();
@@ -157,10 +157,10 @@
             if !seen.insert(volume.nsid) {
                 return Err(CandidateError::Twice(volume.nsid));
             }
-            let Some(in_force) = current.iter().find(|v| v.nsid == volume.nsid) else {
+            let Some(current_volume) = current.iter().find(|v| v.nsid == volume.nsid) else {
                 return Err(CandidateError::VolumeUnknown(volume.nsid));
             };
-            volume.check(in_force, shards)?;
+            volume.check(current_volume, shards)?;
         }
         if let Some(volume) = current.iter().find(|v| !seen.contains(&v.nsid)) {
             return Err(CandidateError::VolumeLeftOut(volume.nsid));
@@ -171,29 +171,29 @@
         }
     }
 
-    /// Equal at gateways that hold the same candidate, in all its parts; in whatever order the volumes stand.
+    /// Digest of all fields; it does not depend on the order of the volumes.
     pub fn digest(&self) -> u64 {
-        let mut words = vec![self.number, self.slice.to_bits(), self.parts.len() as u64];
-        words.extend(self.parts.iter().flat_map(|(nsid, part)| [u64::from(*nsid), part.to_bits()]));
+        let mut numbers = vec![self.number, self.slice.to_bits(), self.parts.len() as u64];
+        numbers.extend(self.parts.iter().flat_map(|(nsid, part)| [u64::from(*nsid), part.to_bits()]));
         let mut volumes: Vec<&VolumeMap> = self.volumes.iter().collect();
         volumes.sort_by_key(|volume| volume.nsid);
         for volume in volumes {
-            words.extend([u64::from(volume.nsid), volume.blocks, volume.extent_blocks]);
-            words.push(volume.shards.len() as u64);
-            words.extend(volume.shards.iter().map(|shard| u64::from(*shard)));
+            numbers.extend([u64::from(volume.nsid), volume.blocks, volume.extent_blocks]);
+            numbers.push(volume.shards.len() as u64);
+            numbers.extend(volume.shards.iter().map(|shard| u64::from(*shard)));
         }
-        number_of(&words)
+        number_of(&numbers)
     }
 }
 
 impl VolumeMap {
-    fn check(&self, in_force: &VolumeMap, shards: &BTreeSet<u32>) -> Result<(), CandidateError> {
+    fn check(&self, current_volume: &VolumeMap, shards: &BTreeSet<u32>) -> Result<(), CandidateError> {
         let VolumeMap { nsid, blocks, extent_blocks, .. } = *self;
         if blocks == 0 || extent_blocks == 0 {
             return Err(CandidateError::Empty { nsid, blocks, extent_blocks });
         }
-        if (blocks, extent_blocks) != (in_force.blocks, in_force.extent_blocks) {
-            let (current_blocks, current_extent) = (in_force.blocks, in_force.extent_blocks);
+        if (blocks, extent_blocks) != (current_volume.blocks, current_volume.extent_blocks) {
+            let (current_blocks, current_extent) = (current_volume.blocks, current_volume.extent_blocks);
             return Err(CandidateError::Size { nsid, blocks, extent_blocks, current_blocks, current_extent });
         }
         let (have, need) = (self.shards.len() as u64, self.extents());
--- a/crates/shadow/src/digest.rs
+++ b/crates/shadow/src/digest.rs
@@ -1,20 +1,20 @@
-//! Digests of data.
+//! Digests of block data, and the hash of the slice selection.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A digest of data, 16 bytes of BLAKE3.
+/// Digest of block data: the first 16 bytes of its BLAKE3 hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// Of data in one piece.
+    /// Digest of contiguous data.
     pub fn of(data: &[u8]) -> Digest {
         Digest::of_pieces([data])
     }
 
-    /// Of data in pieces; where it is cut does not show.
+    /// Digest of data in pieces; it does not depend on where the data is split.
     pub fn of_pieces<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for piece in pieces {
@@ -29,7 +29,7 @@
         Digest(bytes)
     }
 
-    /// Its bytes.
+    /// The bytes of the digest.
     pub fn bytes(&self) -> &[u8; 16] {
         &self.0
     }
@@ -41,15 +41,15 @@
     }
 }
 
-/// The first eight bytes of BLAKE3 over numbers, each as eight bytes: equal on all machines and in all builds.
+/// Hash of numbers: the first eight bytes of BLAKE3 over their little-endian bytes, equal on all machines and in all builds.
 pub(crate) fn number_of(parts: &[u64]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
         hasher.update(&part.to_le_bytes());
     }
-    let mut word = [0; 8];
-    word.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(word)
+    let mut bytes = [0; 8];
+    bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(bytes)
 }
 
 #[cfg(test)]
@@ -57,7 +57,7 @@
     use super::*;
 
     #[test]
-    fn where_data_is_cut_does_not_show() {
+    fn digest_does_not_depend_on_the_split() {
         let data: Vec<u8> = (0..=255).collect();
         let pieces = data.chunks(7);
         assert_eq!(Digest::of(&data), Digest::of_pieces(pieces));
--- a/crates/shadow/src/exchange.rs
+++ b/crates/shadow/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What the shadow takes in and gives out.
+//! Inputs and outputs of the shadow.
 
 use peer::{Life, PeerName};
 
@@ -6,113 +6,114 @@
 use crate::digest::Digest;
 use crate::tries::{Tried, TryId};
 
-/// What happened.
+/// An input of the shadow.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A client's read was answered from this node: what it got, how long it took. To be told after the answer went out.
+    /// A client's read was answered by this node. To be passed in after the client has its answer.
     Read {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// The first block.
+        /// First logical block.
         slba: u64,
-        /// How many.
+        /// Number of blocks.
         blocks: u32,
-        /// The node that answered.
+        /// Node that answered.
         node: String,
-        /// When the read went out, or earlier; on the clock of `now`.
+        /// When the read was sent, or earlier; on the clock of `now`.
         began: Micros,
-        /// When its data was in.
+        /// When its data was received.
         ended: Micros,
-        /// Of the data.
+        /// Digest of the data.
         digest: Digest,
     },
-    /// A client's write began here: to be told before anything of it is sent, as it may run from now on. The same for all else
-    /// that changes blocks.
+    /// A client's write began at this gateway. To be passed in before any of it is sent, as it may run from then on; likewise
+    /// for everything else that changes blocks.
     WriteBegan {
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// The first block.
+        /// First logical block.
         slba: u64,
-        /// How many.
+        /// Number of blocks.
         blocks: u32,
-        /// Names it until its end.
+        /// Identifies the write until it ends.
         token: u64,
     },
-    /// It ended; `known`: it has run or never will. If not, it may yet run for [`crate::ShadowOptions::rest`].
+    /// A write ended. If its outcome is not known, it may still run for [`crate::ShadowOptions::rest`].
     WriteEnded {
-        /// Its name.
+        /// Token of the write.
         token: u64,
-        /// Whether its outcome is known.
+        /// Whether its outcome is known: it has run, or never will.
         known: bool,
     },
-    /// What a try came to.
+    /// A shadow read ended.
     Tried {
-        /// Its name.
+        /// Identifier of the shadow read.
         id: TryId,
-        /// When its data was in.
+        /// When its data was received.
         ended: Micros,
-        /// What it came to.
+        /// Its result.
         outcome: Tried,
     },
-    /// Nodes that may be tried, by shard, as link, list, view and cap say; everything else is left alone.
+    /// Nodes that may get shadow reads, with their shards, as determined by connections, node list, peers and limits; no other
+    /// node gets any.
     Nodes(Vec<(u32, String)>),
-    /// Requests are held here, or not.
+    /// Whether requests are queued at this gateway.
     Busy(bool),
-    /// All other gateways that may write to these volumes, whether they can be reached or not: one is left out only if it has
-    /// left for good. Without the word of each, no difference is believed.
+    /// All other gateways that may write to these volumes, reachable or not; only one that has left for good may be omitted.
+    /// No difference is counted without an answer from each of them.
     Peers(Vec<PeerName>),
-    /// A peer's note of this package came.
+    /// A peer's message of this package arrived.
     ///
-    /// Danger: with a `now` from before the note arrived, a write that ended just before the peer made it would seem to have
-    /// ended before a read that it raced. `now` is to be read after the note has come in.
+    /// `now` must be read after the message arrived. With an earlier `now`, a write that ended just before the peer sent it
+    /// would seem to have ended before a read that it raced with.
     Heard {
-        /// The peer.
+        /// Sender of the message.
         from: PeerName,
-        /// Its life.
+        /// Life of the sender.
         life: Life,
-        /// The note.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// It goes on in another life.
+    /// The gateway continues in another life.
     Renewed(Life),
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Read these blocks from this node with a token of its own; ends with [`Input::Tried`], within the patience.
+    /// Send a shadow read of these blocks to this node with a separate token; ends with [`Input::Tried`] within the timeout.
     Try {
-        /// Its name.
+        /// Identifier of the shadow read.
         id: TryId,
-        /// The node.
+        /// Node to read from.
         node: String,
-        /// Its shard in the candidate.
+        /// Shard of the blocks in the candidate.
         shard: u32,
-        /// The volume.
+        /// Namespace identifier of the volume.
         nsid: u32,
-        /// The first block.
+        /// First logical block.
         slba: u64,
-        /// How many.
+        /// Number of blocks.
         blocks: u32,
-        /// How long it may take.
+        /// Timeout of the shadow read.
         patience: Micros,
     },
-    /// A note of this package, which may be lost.
+    /// Send a message of this package to a peer; it may be lost.
     Send {
-        /// To whom.
+        /// Receiver of the message.
         to: PeerName,
-        /// The note.
+        /// The encoded message.
         body: Vec<u8>,
     },
-    /// The counts of this gateway's lives, to be kept durably in place of what was kept before.
+    /// Store the counters of this gateway's lives durably, replacing those stored before.
     Keep(Vec<u8>),
-    /// Something was turned away; for the log, once for each cause and peer. Under this gateway's own name: what was kept.
+    /// Data was rejected; for the log, once for each cause and peer. Under this gateway's own name: the stored counters.
     TurnedAway {
-        /// Whose it was.
+        /// Sender of the data.
         from: PeerName,
-        /// Why.
+        /// Cause of the rejection.
         why: &'static str,
     },
 }
--- a/crates/shadow/src/lib.rs
+++ b/crates/shadow/src/lib.rs
@@ -1,13 +1,17 @@
-//! A candidate shard map, tried on a slice of real reads before an operator moves volumes to it. Without I/O.
+//! Shadow reads: tests a candidate shard map with a sample of real reads before an operator moves volumes to it. The crate
+//! does no I/O.
 //!
-//! - A [`Candidate`] is a numbered map, checked against the one in force. Its slice is drawn by a hash, the same everywhere.
-//! - Reads of the slice go, after their client has its answer, to the candidate's node too, once, under a rate of their own.
-//!   Writes never run in the shadow; where they would go is counted on paper.
-//! - A difference counts as one only if every gateway that may write has said, before the read and after the try, that it
-//!   wrote nothing to these blocks in between, and only for the second time in an extent. All else is *raced* or *unknown*.
-//! - Counts belong to one instance in one life of one gateway and only grow; merging them is a join. [`Verdict`] is their sum.
+//! - A [`Candidate`] is a numbered map, checked against the current one. Its sample of extents (the slice) is selected by a
+//!   hash, so all gateways select the same one.
+//! - After the client has its answer, a read of the slice is sent once to the candidate's node too, under a separate rate
+//!   limit. Writes are never sent; only where they would go is counted.
+//! - Different data counts as a difference only if every gateway that may write has confirmed, with a tick from before the
+//!   read and an answer after the shadow read, that it wrote nothing to these blocks in between, and only from the second
+//!   time in an extent. All other cases count as *raced* or *unknown*.
+//! - Counters belong to one instance in one life of one gateway and only grow, so merging them is a join. [`Verdict`] is
+//!   their sum.
 //!
-//! What it is not: a move of data, a promotion of the candidate, or a choice of anything for a client's request.
+//! The crate does not move data, promote the candidate or influence a client's request.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -39,8 +43,8 @@
 pub use tries::{Tried, TryId};
 pub use verdict::{Enough, Example, ExtentLook, Lack, Quantiles, Results, ShardLook, Verdict, Ways};
 
-/// The kind of this package's notes between gateways.
+/// Message kind of this package between gateways.
 pub const KIND: peer::Kind = peer::Kind(4);
 
-/// Microseconds on the caller's clock, which only ever goes forward.
+/// Microseconds on the caller's monotonic clock.
 pub type Micros = i64;
--- a/crates/shadow/src/merge.rs
+++ b/crates/shadow/src/merge.rs
@@ -1,5 +1,5 @@
-//! Counts of all lives, joined: each cell is written by one owner and only grows, so that what comes twice, late or in
-//! another order counts once.
+//! Merged counters of all lives. Each cell is written by one owner and only grows, so that updates that arrive twice, late
+//! or out of order are counted once.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -9,16 +9,16 @@
 
 use crate::counts::{Cell, Key};
 use crate::options::MOST_EXAMPLES;
-use crate::slice::Places;
+use crate::slice::SliceMap;
 use crate::verdict::Example;
 
-/// Whose counts: one instance in one life of one gateway. Nothing is ever counted under it by anybody else.
+/// Owner of counters: one instance in one life of one gateway. Nobody else ever counts under it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Owner {
     pub(crate) name: PeerName,
     pub(crate) incarnation: u64,
     pub(crate) nonce: u64,
-    /// Tells apart instances within a life: a candidate that is read again starts another one.
+    /// Identifies the instance within a life: loading a candidate again starts another instance.
     pub(crate) seat: u64,
 }
 
@@ -31,23 +31,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Count {
     pub(crate) value: u64,
-    /// The owner's number of the step that last changed it.
+    /// The owner's version at the last change of the cell.
     pub(crate) version: u64,
 }
 
-/// What is held of one owner.
+/// Counters of one owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Book {
-    /// All steps up to this one are in, as far as is known.
-    pub(crate) have: u64,
-    /// Of all cells: the sum of their values, and a sum of hashes over key and value.
+pub(crate) struct OwnerCounters {
+    /// All changes up to this version are included, as far as is known.
+    pub(crate) position: u64,
+    /// Checksum of all cells: the sum of their values, and the sum of hashes over key and value.
     sum: (u64, u64),
     pub(crate) cells: BTreeMap<Key, Count>,
-    /// By their number: the first ones.
+    /// The first examples, by their number.
     pub(crate) examples: BTreeMap<u32, Example>,
 }
 
-/// A part of a book: all cells whose last change lies behind step `from`, up to that of the last cell.
+/// A part of an owner's counters: all cells last changed after version `from`, up to the version of the last cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Page {
     pub(crate) owner: Owner,
@@ -56,15 +56,15 @@
     pub(crate) examples: Vec<(u32, Example)>,
 }
 
-/// How far a gateway's copy of a book reaches.
+/// Version and checksum of a gateway's copy of an owner's counters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Reach {
+pub(crate) struct Position {
     pub(crate) owner: Owner,
     pub(crate) have: u64,
     pub(crate) sum: (u64, u64),
 }
 
-impl Book {
+impl OwnerCounters {
     fn join_cell(&mut self, key: Key, count: Count) {
         let cell = self.cells.entry(key).or_insert(Count { value: 0, version: 0 });
         let joined = Count { value: cell.value.max(count.value), version: cell.version.max(count.version) };
@@ -84,7 +84,7 @@
             Entry::Vacant(entry) => {
                 entry.insert(example.clone());
             }
-            // Only a liar sends two of one number; all gateways then hold the same one.
+            // Only a faulty gateway sends two examples with one number; all gateways then keep the same one.
             Entry::Occupied(mut entry) if entry.get() < example => {
                 entry.insert(example.clone());
             }
@@ -92,57 +92,57 @@
         }
     }
 
-    fn page(&self, owner: &Owner, from: u64, most: usize) -> Option<Page> {
-        if self.have <= from {
+    fn page(&self, owner: &Owner, from: u64, max_cells: usize) -> Option<Page> {
+        if self.position <= from {
             return None;
         }
         let mut cells: Vec<(Key, Count)> = self
             .cells
             .iter()
-            .filter(|(_, count)| count.version > from && count.version <= self.have)
+            .filter(|(_, count)| count.version > from && count.version <= self.position)
             .map(|(key, count)| (*key, *count))
             .collect();
         cells.sort_by_key(|(_, count)| count.version);
-        cells.truncate(most);
+        cells.truncate(max_cells);
         let examples = self.examples.iter().map(|(at, example)| (*at, example.clone())).collect();
         (!cells.is_empty()).then(|| Page { owner: owner.clone(), from, cells, examples })
     }
 }
 
-impl Book {
-    /// Cells from a drawn place on, which claim to be no step.
-    fn any(&self, owner: &Owner, most: usize, draw: u64) -> Page {
+impl OwnerCounters {
+    /// A page of cells from a random position on, which does not advance the receiver's version.
+    fn random_page(&self, owner: &Owner, max_cells: usize, random: u64) -> Page {
         let count = self.cells.len();
-        let first = (draw % count.max(1) as u64) as usize;
-        let cells = self.cells.iter().cycle().skip(first).take(most.min(count));
+        let first = (random % count.max(1) as u64) as usize;
+        let cells = self.cells.iter().cycle().skip(first).take(max_cells.min(count));
         let cells = cells.map(|(key, count)| (*key, *count)).collect();
         let examples = self.examples.iter().map(|(at, example)| (*at, example.clone())).collect();
         Page { owner: owner.clone(), from: u64::MAX, cells, examples }
     }
 }
 
-/// What is held of all owners, of one candidate.
+/// Counters of all owners, of one candidate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Books {
-    pub(crate) books: BTreeMap<Owner, Book>,
+pub(crate) struct MergedCounters {
+    pub(crate) owners: BTreeMap<Owner, OwnerCounters>,
 }
 
-impl Books {
-    /// Counts one more under an owner.
-    pub(crate) fn bump(&mut self, owner: &Owner, cell: Cell) {
-        if !self.books.contains_key(owner) {
-            self.books.insert(owner.clone(), Book::default());
+impl MergedCounters {
+    /// Increments a cell of an owner.
+    pub(crate) fn increment(&mut self, owner: &Owner, cell: Cell) {
+        if !self.owners.contains_key(owner) {
+            self.owners.insert(owner.clone(), OwnerCounters::default());
         }
-        if let Some(book) = self.books.get_mut(owner) {
-            book.have += 1;
+        if let Some(book) = self.owners.get_mut(owner) {
+            book.position += 1;
             let value = book.cells.get(&cell.key()).map_or(0, |count| count.value) + 1;
-            book.join_cell(cell.key(), Count { value, version: book.have });
+            book.join_cell(cell.key(), Count { value, version: book.position });
         }
     }
 
-    /// Notes an example of an owner, if there is room.
+    /// Adds an example of an owner, if there is room.
     pub(crate) fn example(&mut self, owner: &Owner, example: Example) {
-        if let Some(book) = self.books.get_mut(owner) {
+        if let Some(book) = self.owners.get_mut(owner) {
             let at = book.examples.len();
             if at < MOST_EXAMPLES {
                 book.examples.insert(at as u32, example);
@@ -150,67 +150,77 @@
         }
     }
 
-    /// How far each book reaches.
-    pub(crate) fn reach(&self) -> Vec<Reach> {
-        let reach =
-            |(owner, book): (&Owner, &Book)| Reach { owner: owner.clone(), have: book.have, sum: book.sum };
-        self.books.iter().map(reach).collect()
+    /// Version and checksum of each owner's counters.
+    pub(crate) fn positions(&self) -> Vec<Position> {
+        let position = |(owner, book): (&Owner, &OwnerCounters)| Position {
+            owner: owner.clone(),
+            have: book.position,
+            sum: book.sum,
+        };
+        self.owners.iter().map(position).collect()
     }
 
-    /// Pages that one who reaches so far lacks, at most so many of so many cells.
+    /// Pages that a peer with the positions `theirs` is missing: at most `max_pages` of `max_cells` each.
     ///
-    /// Danger: part of a book came from its owner, the rest from one who had an older copy, and the owner is gone: what
-    /// moved up between the two is in neither part, and nobody would send it again, as all steps seem to be in.
-    /// Harm: of two copies that reach equally far and are not equal, each sends the other cells from a drawn place, until
-    /// they are.
-    pub(crate) fn pages(&self, theirs: &[Reach], most: usize, cells: usize, draw: u64) -> Vec<Page> {
-        let theirs: BTreeMap<&Owner, &Reach> = theirs.iter().map(|reach| (&reach.owner, reach)).collect();
-        let lacking = self.books.iter().filter_map(|(owner, book)| match theirs.get(owner) {
-            Some(reach) if reach.have == book.have && reach.sum != book.sum => {
-                Some(book.any(owner, cells, draw))
+    /// A copy may come partly from its owner and partly from a peer with an older copy. Cells that changed in between are
+    /// then in neither part, and if the owner is gone, nobody would send them again, as the copy seems complete. Two copies
+    /// of the same version with different checksums therefore send each other cells from a random position until they are
+    /// equal. The cost is these additional pages.
+    pub(crate) fn pages(
+        &self,
+        theirs: &[Position],
+        max_pages: usize,
+        max_cells: usize,
+        random: u64,
+    ) -> Vec<Page> {
+        let theirs: BTreeMap<&Owner, &Position> =
+            theirs.iter().map(|position| (&position.owner, position)).collect();
+        let missing = self.owners.iter().filter_map(|(owner, book)| match theirs.get(owner) {
+            Some(position) if position.have == book.position && position.sum != book.sum => {
+                Some(book.random_page(owner, max_cells, random))
             }
-            Some(reach) => book.page(owner, reach.have, cells),
-            None => book.page(owner, 0, cells),
+            Some(position) => book.page(owner, position.have, max_cells),
+            None => book.page(owner, 0, max_cells),
         });
-        lacking.take(most).collect()
+        missing.take(max_pages).collect()
     }
 
-    /// Takes a page in. What is not known here is passed over; whether the owner found room is told.
-    pub(crate) fn take(&mut self, page: &Page, places: &Places, most_owners: usize) -> bool {
-        if !self.books.contains_key(&page.owner) && self.books.len() >= most_owners {
+    /// Merges a page; unknown cells are ignored. Returns false if there is no room for another owner.
+    pub(crate) fn merge_page(&mut self, page: &Page, slice_map: &SliceMap, most_owners: usize) -> bool {
+        if !self.owners.contains_key(&page.owner) && self.owners.len() >= most_owners {
             return false;
         }
-        let book = self.books.entry(page.owner.clone()).or_default();
+        let book = self.owners.entry(page.owner.clone()).or_default();
         for (key, count) in &page.cells {
-            if Cell::of(*key, places).is_some() {
+            if Cell::of(*key, slice_map).is_some() {
                 book.join_cell(*key, *count);
             }
         }
         for (at, example) in &page.examples {
             book.join_example(*at, example);
         }
-        let reaches = page.cells.iter().map(|(_, count)| count.version).max().unwrap_or(0);
-        if page.from <= book.have {
-            book.have = book.have.max(reaches);
+        let last_version = page.cells.iter().map(|(_, count)| count.version).max().unwrap_or(0);
+        if page.from <= book.position {
+            book.position = book.position.max(last_version);
         }
         true
     }
 
-    /// The join of two holdings: for each owner and cell the greater one.
+    /// Joins two sets of counters: the maximum for each owner and cell.
     #[cfg(test)]
-    pub(crate) fn join(&mut self, other: &Books) {
-        for (owner, theirs) in &other.books {
-            let ours = self.books.entry(owner.clone()).or_default();
+    pub(crate) fn join(&mut self, other: &MergedCounters) {
+        for (owner, theirs) in &other.owners {
+            let ours = self.owners.entry(owner.clone()).or_default();
             theirs.cells.iter().for_each(|(key, count)| ours.join_cell(*key, *count));
             theirs.examples.iter().for_each(|(at, example)| ours.join_example(*at, example));
-            ours.have = ours.have.max(theirs.have);
+            ours.position = ours.position.max(theirs.position);
         }
     }
 
-    /// All cells with their owners' counts added up.
+    /// Sums of all cells over their owners.
     pub(crate) fn sums(&self) -> BTreeMap<Key, u64> {
         let mut sums = BTreeMap::new();
-        for (key, count) in self.books.values().flat_map(|book| &book.cells) {
+        for (key, count) in self.owners.values().flat_map(|book| &book.cells) {
             let sum: &mut u64 = sums.entry(*key).or_default();
             *sum = sum.saturating_add(count.value);
         }
--- a/crates/shadow/src/message.rs
+++ b/crates/shadow/src/message.rs
@@ -1,37 +1,37 @@
-//! What gateways say to each other, and what is kept: MessagePack with named fields.
+//! Messages between gateways, and the stored counters: MessagePack with named fields.
 
 use serde::{Deserialize, Serialize};
 
-use crate::merge::{Page, Reach};
+use crate::merge::{Page, Position};
 use crate::writes::Seen;
 
-/// A note. Each says the sender's tick, which is its word on what it has written so far.
+/// A message between gateways. Each carries the sender's tick, which stands for all that it has written so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Note {
-    /// Of the sender's candidate.
+pub(crate) struct Message {
+    /// Digest of the sender's candidate.
     pub(crate) digest: u64,
-    /// Of the sender's instance, drawn when it started: ticks of two instances have nothing to do with each other.
+    /// Random identifier of the sender's instance: ticks of different instances cannot be compared.
     pub(crate) seat: u64,
     pub(crate) tick: u64,
-    /// The sender cannot say yet what it has written: its tick is no word.
+    /// Whether the sender cannot yet say what it has written; its tick is then not valid.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) blind: bool,
-    /// How far the sender's books reach, all of them; what it lacks may be sent to it.
+    /// Positions of all the sender's counters; the receiver may send what is missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub(crate) have: Option<Vec<Reach>>,
+    pub(crate) have: Option<Vec<Position>>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) pages: Vec<Page>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) asks: Vec<Ask>,
+    pub(crate) asks: Vec<Query>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) said: Vec<Said>,
+    pub(crate) said: Vec<QueryAnswer>,
 }
 
-/// Asks whether the receiver may have written blocks after it said a tick.
+/// Query: whether the receiver may have written these blocks after the tick `since`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Ask {
+pub(crate) struct Query {
     pub(crate) id: u64,
-    /// The instance that said the tick.
+    /// The instance that sent the tick.
     pub(crate) of: u64,
     pub(crate) since: u64,
     pub(crate) nsid: u32,
@@ -39,22 +39,22 @@
     pub(crate) blocks: u32,
 }
 
-/// The answer to an [`Ask`], by its number.
+/// The answer to a [`Query`] with the same identifier.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Said {
+pub(crate) struct QueryAnswer {
     pub(crate) id: u64,
     pub(crate) seen: Seen,
 }
 
-/// What is kept through a loss of power: the books of this gateway's lives.
+/// The durable data: the counters of this gateway's lives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Kept {
+pub(crate) struct StoredCounters {
     pub(crate) digest: u64,
     pub(crate) pages: Vec<Page>,
 }
 
-/// Most pages in a note, and cells in a page: 4 x 128 cells are under 32 KiB with their examples.
-pub(crate) const MOST_PAGES: usize = 4;
-pub(crate) const MOST_CELLS: usize = 128;
-/// Most questions that one note asks, or is answered.
-pub(crate) const MOST_ASKS: usize = 64;
+/// Maximum number of pages in a message and of cells in a page: 4 x 128 cells are under 32 KiB with their examples.
+pub(crate) const MAX_PAGES: usize = 4;
+pub(crate) const MAX_CELLS: usize = 128;
+/// Maximum number of queries, and of answers, that are processed from one message.
+pub(crate) const MAX_QUERIES: usize = 64;
--- a/crates/shadow/src/options.rs
+++ b/crates/shadow/src/options.rs
@@ -1,64 +1,64 @@
-//! What the shadow is told once.
+//! Options of the shadow.
 
 use peer::PeerName;
 
 use crate::Micros;
 use crate::candidate::{Candidate, VolumeMap};
 
-/// What the shadow is told once. The rates and bounds may differ between gateways; candidate and map in force are one.
+/// Options of the shadow. Rates and limits may differ between gateways; the candidate and the current map must not.
 #[derive(Clone, Debug)]
 pub struct ShadowOptions {
-    /// This gateway.
+    /// Name of this gateway.
     pub name: PeerName,
-    /// The map that is tried; checked by the caller against the shards that have nodes.
+    /// The candidate map; the caller has checked that its shards have nodes.
     pub candidate: Candidate,
-    /// The map in force.
+    /// The current map.
     pub current: Vec<VolumeMap>,
-    /// How long a try may take.
+    /// Timeout of a shadow read.
     pub patience: Micros,
-    /// Sends a second to one node over the whole fleet.
+    /// Shadow reads per second to one node, from all gateways together.
     pub node_rate: f64,
-    /// The gateways that share them, as the site file names them: never those that happen to be seen.
+    /// Number of gateways that share `node_rate`, as configured in the site file: not the number currently reachable.
     pub members: usize,
-    /// Counts are kept at most this far apart: what the loss of power costs of them.
+    /// Interval at which the counters are stored: the most that a power loss can lose of them.
     pub keep: Micros,
-    /// How long a write of unknown outcome may yet take effect at a node, and what a gateway that was killed left in flight:
-    /// above the longest deadline of a write and the keep alive of a node's connection.
+    /// How long a write of unknown outcome, or one that a killed gateway left in flight, may still take effect at a node: must
+    /// exceed the longest deadline of a write and the keep-alive timeout of a node's connection.
     pub rest: Micros,
-    /// How long after its end a write may yet be on its way to the candidate's place; 0 if both places show it at once.
+    /// How long after its end a write may still be propagating to the candidate's shard; 0 if both shards show it at once.
     pub settle: Micros,
-    /// A word to each peer this often.
+    /// Heartbeat interval: each peer gets a tick this often.
     pub beat: Micros,
-    /// How long a difference waits for the peers' words.
+    /// How long a difference waits for the peers' answers.
     pub hold: Micros,
-    /// Tries that are out at one time: in all, and at one node.
+    /// Maximum number of shadow reads in flight.
     pub most_out: usize,
-    /// See `most_out`.
+    /// Maximum number of shadow reads in flight at one node.
     pub most_out_node: usize,
-    /// Differences that wait for words at one time.
+    /// Maximum number of differences that wait for answers.
     pub most_held: usize,
-    /// Writes that are remembered: open ones, resting ones, ended ones (each).
+    /// Maximum number of writes in the log: open, unresolved and ended ones (each).
     pub most_writes: usize,
-    /// Lives whose counts are held.
+    /// Maximum number of lives whose counters are held.
     pub most_owners: usize,
-    /// Longest note that is taken, in bytes.
+    /// Maximum length of an accepted message, in bytes.
     pub most_body: usize,
-    /// Peers that are told in a beat what counts are held here.
+    /// Number of peers that get the positions of all counters with a heartbeat.
     pub fanout: usize,
-    /// Enough is: at 95 %, at most this part of compared reads can differ.
+    /// Sufficient is: at 95 % confidence at most this fraction of compared reads differs,
     pub target: f64,
-    /// And so many compared reads for each extent.
+    /// and each moved extent has this many equal reads.
     pub each: u64,
-    /// A mistake, for tests that show what catches it.
+    /// Fault injected by tests, to show that they detect it.
     pub plant: Plant,
 }
 
-/// Examples that a life keeps: the first ones.
+/// Maximum number of examples per life; the first ones are kept.
 pub const MOST_EXAMPLES: usize = 8;
 
 impl ShadowOptions {
-    /// With defaults for all rates and bounds: patience 0.5 s, 50 sends a second and node, kept every 5 s, 30 s of rest, a
-    /// beat of 0.5 s, enough at one in 10,000 (30,000 compared) and 30 for each extent.
+    /// Options with defaults for all rates and limits: timeout 0.5 s, 50 shadow reads per second and node, counters stored every
+    /// 5 s, `rest` 30 s, heartbeat every 0.5 s, target 1 in 10,000 (30,000 compared reads) and 30 equal reads per extent.
     pub fn new(name: PeerName, candidate: Candidate, current: Vec<VolumeMap>, members: usize) -> Self {
         ShadowOptions {
             name,
@@ -86,24 +86,24 @@
     }
 }
 
-/// A planted mistake.
+/// A fault that tests inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Plant {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Counts are owned by a name in place of a life.
+    /// Counters are owned by a gateway's name instead of its life.
     NameOwns,
-    /// A write in between is not seen.
+    /// Writes in between are ignored.
     RaceUnseen,
-    /// What peers write is not asked.
+    /// Peers are not queried for their writes.
     PeersUnasked,
-    /// A try that timed out goes out again.
+    /// A shadow read that timed out is sent again.
     SecondTry,
-    /// Counts of another candidate are added.
+    /// Counters of another candidate are added.
     DigestsAdded,
-    /// Each life draws a slice of its own.
+    /// Each life selects its own slice.
     SlicePerLife,
-    /// A peer's word from before its restart is taken for its life's.
+    /// A peer's tick from before its restart is accepted for its current life.
     OldWord,
 }
--- a/crates/shadow/src/peers.rs
+++ b/crates/shadow/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peers that may write to the same volumes, and the words they gave: at which time here each had said which tick.
+//! Peers that may write to the same volumes, and the ticks received from them, with the local time of receipt.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,88 +6,88 @@
 
 use crate::Micros;
 
-/// Words that are remembered of a peer, a beat apart: reads that began before the oldest find none.
-const MOST_WORDS: usize = 24;
+/// Ticks that are kept per peer, one per heartbeat: reads that began before the oldest one find none.
+const MAX_TICKS: usize = 24;
 
-/// A peer that has said no word for so many beats is silent: what it writes now will hardly be known.
-const LATELY: Micros = 4;
+/// A peer without a tick for this many heartbeats is silent: its current writes will probably not be peer.
+const RECENT_HEARTBEATS: Micros = 4;
 
-/// What a peer had said before a read began.
+/// The last tick received from a peer before a read began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Word {
+pub(crate) struct PeerTick {
     pub(crate) life: Life,
     pub(crate) seat: u64,
     pub(crate) tick: u64,
 }
 
-struct Known {
+struct Peer {
     listed: bool,
-    /// When it was taken off the list.
-    gone: Micros,
+    /// When it was removed from the list.
+    removed_at: Micros,
     source: Option<(Life, u64)>,
-    words: VecDeque<(Micros, u64)>,
-    answered: Option<Micros>,
-    told: BTreeSet<&'static str>,
+    ticks: VecDeque<(Micros, u64)>,
+    pages_sent_at: Option<Micros>,
+    reported_causes: BTreeSet<&'static str>,
 }
 
-impl Known {
-    /// Whether it may have written since `start`: also when it was taken off the list, as long as its writes rest.
+impl Peer {
+    /// Whether it may have written since `start`. After its removal its writes may still run for `rest`.
     fn may_write(&self, start: Micros, rest: Micros) -> bool {
-        self.listed || self.gone.saturating_add(rest) >= start
+        self.listed || self.removed_at.saturating_add(rest) >= start
     }
 }
 
 pub(crate) struct Peers {
     rest: Micros,
-    /// Words closer than this replace nothing.
-    apart: Micros,
-    known: BTreeMap<PeerName, Known>,
+    /// Minimum time between two kept ticks: half of the heartbeat interval.
+    min_interval: Micros,
+    known: BTreeMap<PeerName, Peer>,
 }
 
 impl Peers {
-    pub(crate) fn new(rest: Micros, beat: Micros) -> Peers {
-        Peers { rest, apart: beat / 2, known: BTreeMap::new() }
+    pub(crate) fn new(rest: Micros, heartbeat: Micros) -> Peers {
+        Peers { rest, min_interval: heartbeat / 2, known: BTreeMap::new() }
     }
 
-    fn of(&mut self, name: &PeerName) -> &mut Known {
-        self.known.entry(name.clone()).or_insert_with(|| Known {
+    fn entry(&mut self, name: &PeerName) -> &mut Peer {
+        self.known.entry(name.clone()).or_insert_with(|| Peer {
             listed: false,
-            gone: Micros::MIN,
+            removed_at: Micros::MIN,
             source: None,
-            words: VecDeque::new(),
-            answered: None,
-            told: BTreeSet::new(),
+            ticks: VecDeque::new(),
+            pages_sent_at: None,
+            reported_causes: BTreeSet::new(),
         })
     }
 
-    /// The peers are these.
+    /// Sets the list of peers.
     pub(crate) fn list(&mut self, now: Micros, names: &[PeerName]) {
-        for (name, known) in &mut self.known {
-            if known.listed && !names.contains(name) {
-                known.listed = false;
-                known.gone = now;
+        for (name, peer) in &mut self.known {
+            if peer.listed && !names.contains(name) {
+                peer.listed = false;
+                peer.removed_at = now;
             }
         }
         for name in names {
-            self.of(name).listed = true;
+            self.entry(name).listed = true;
         }
-        // What a peer that left had in flight rests as long as this gateway's own writes.
+        // In-flight writes of a peer that left may run as long as this gateway's own writes.
         let rest = self.rest;
-        self.known.retain(|_, known| known.listed || known.gone.saturating_add(rest) >= now);
+        self.known.retain(|_, peer| peer.listed || peer.removed_at.saturating_add(rest) >= now);
     }
 
     pub(crate) fn listed(&self) -> impl Iterator<Item = &PeerName> {
-        self.known.iter().filter(|(_, known)| known.listed).map(|(name, _)| name)
+        self.known.iter().filter(|(_, peer)| peer.listed).map(|(name, _)| name)
     }
 
     pub(crate) fn is_listed(&self, name: &PeerName) -> bool {
-        self.known.get(name).is_some_and(|known| known.listed)
+        self.known.get(name).is_some_and(|peer| peer.listed)
     }
 
-    /// A peer said a tick, or that it has none to say. Whether it counts: an earlier life's late note does not.
+    /// Records a tick of a peer, or that it has none. Returns whether the message is valid: a late one of an earlier life is not.
     ///
-    /// Danger: a note may come twice or late; it then says less than was known, and never more. What was said last counts.
-    pub(crate) fn heard(
+    /// A message that arrives twice or late holds a lower tick than is known; the highest tick counts.
+    pub(crate) fn on_tick(
         &mut self,
         now: Micros,
         name: &PeerName,
@@ -95,63 +95,64 @@
         seat: u64,
         tick: Option<u64>,
     ) -> bool {
-        let apart = self.apart;
-        let known = self.of(name);
-        match known.source {
+        let min_interval = self.min_interval;
+        let peer = self.entry(name);
+        match peer.source {
             Some((of, _)) if of.incarnation > life.incarnation => return false,
             Some(source) if source == (life, seat) => {}
             _ => {
-                known.source = Some((life, seat));
-                known.words.clear();
+                peer.source = Some((life, seat));
+                peer.ticks.clear();
             }
         }
         let Some(tick) = tick else { return true };
-        let last = known.words.back().copied();
-        let tick = last.map_or(tick, |(_, said)| said.max(tick));
-        if last.is_none_or(|(at, _)| now - at >= apart) {
-            known.words.push_back((now, tick));
-            if known.words.len() > MOST_WORDS {
-                known.words.pop_front();
+        let last = peer.ticks.back().copied();
+        let tick = last.map_or(tick, |(_, known_tick)| known_tick.max(tick));
+        if last.is_none_or(|(at, _)| now - at >= min_interval) {
+            peer.ticks.push_back((now, tick));
+            if peer.ticks.len() > MAX_TICKS {
+                peer.ticks.pop_front();
             }
         }
         true
     }
 
-    /// All who may have written since `start`, with the last word each gave before it: in an earlier microsecond, as what
-    /// happened within one cannot be put in order.
-    pub(crate) fn words_before(&self, start: Micros) -> Vec<(PeerName, Option<Word>)> {
-        let word = |known: &Known| {
-            let (life, seat) = known.source?;
-            let (_, tick) = *known.words.iter().rev().find(|(at, _)| *at < start)?;
-            Some(Word { life, seat, tick })
+    /// All peers that may have written since `start`, with the last tick of each from before it: from an earlier microsecond, as
+    /// events within one microsecond cannot be ordered.
+    pub(crate) fn ticks_before(&self, start: Micros) -> Vec<(PeerName, Option<PeerTick>)> {
+        let last_tick = |peer: &Peer| {
+            let (life, seat) = peer.source?;
+            let (_, tick) = *peer.ticks.iter().rev().find(|(at, _)| *at < start)?;
+            Some(PeerTick { life, seat, tick })
         };
-        let all = self.known.iter().filter(|(_, known)| known.may_write(start, self.rest));
-        all.map(|(name, known)| (name.clone(), word(known))).collect()
+        let all = self.known.iter().filter(|(_, peer)| peer.may_write(start, self.rest));
+        all.map(|(name, peer)| (name.clone(), last_tick(peer))).collect()
     }
 
-    /// Whether each that may have written since `start` had said a word before it, and one not long ago.
-    pub(crate) fn speak(&self, now: Micros, start: Micros) -> bool {
-        let recent = now.saturating_sub(self.apart.saturating_mul(2 * LATELY));
-        let speaks = |known: &Known| {
-            known.words.front().is_some_and(|(at, _)| *at < start)
-                && known.words.back().is_some_and(|(at, _)| *at >= recent)
+    /// Whether each peer that may have written since `start` sent a tick before it, and one recently.
+    pub(crate) fn all_heard_recently(&self, now: Micros, start: Micros) -> bool {
+        let recent = now.saturating_sub(self.min_interval.saturating_mul(2 * RECENT_HEARTBEATS));
+        let heard_recently = |peer: &Peer| {
+            peer.ticks.front().is_some_and(|(at, _)| *at < start)
+                && peer.ticks.back().is_some_and(|(at, _)| *at >= recent)
         };
-        self.known.values().all(|known| speaks(known) || !known.may_write(start, self.rest))
+        self.known.values().all(|peer| heard_recently(peer) || !peer.may_write(start, self.rest))
     }
 
-    /// Whether a peer's counts may be answered now: once in half a beat, so that one who asks without end costs little.
-    pub(crate) fn may_answer(&mut self, now: Micros, name: &PeerName) -> bool {
-        let apart = self.apart;
-        let known = self.of(name);
-        let may = known.answered.is_none_or(|at| now - at >= apart);
+    /// Whether pages may be sent to a peer now: once per half heartbeat interval, so that a peer that requests them continuously
+    /// costs little.
+    pub(crate) fn may_send_pages(&mut self, now: Micros, name: &PeerName) -> bool {
+        let min_interval = self.min_interval;
+        let peer = self.entry(name);
+        let may = peer.pages_sent_at.is_none_or(|at| now - at >= min_interval);
         if may {
-            known.answered = Some(now);
+            peer.pages_sent_at = Some(now);
         }
         may
     }
 
-    /// Whether a cause is new for a peer, and to be told.
-    pub(crate) fn is_news(&mut self, name: &PeerName, why: &'static str) -> bool {
-        self.of(name).told.insert(why)
+    /// Whether a cause of rejection is new for a peer and is to be logged.
+    pub(crate) fn is_first_report(&mut self, name: &PeerName, why: &'static str) -> bool {
+        self.entry(name).reported_causes.insert(why)
     }
 }
--- a/crates/shadow/src/verdict.rs
+++ b/crates/shadow/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the counts say, for operators.
+//! The verdict on a candidate, derived from the counters and shown to operators.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,170 +8,170 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::counts::{Came, Cell, Doubt, LONGEST, Lost, Paper, Way, Why};
+use crate::counts::{Cell, Comparison, Doubt, Lost, MAX_LATENCY, Paper, ReadBy, Why};
 use crate::digest::Digest;
-use crate::merge::Books;
+use crate::merge::MergedCounters;
 use crate::options::ShadowOptions;
-use crate::slice::Places;
+use crate::slice::SliceMap;
 
-/// A read that came out different, in a quiet interval, after another of its extent had.
+/// A read with different data that no write explains, after another one in the same extent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Example {
-    /// The gateway that saw it.
+    /// Gateway that found it.
     pub gateway: PeerName,
-    /// The volume.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
     /// The extent.
     pub extent: u64,
-    /// The first block read, and how many.
+    /// First logical block of the read.
     pub slba: u64,
-    /// See `slba`.
+    /// Number of blocks of the read.
     pub blocks: u32,
-    /// Shard in force and shard of the candidate.
+    /// Shard in the current map and in the candidate.
     pub shards: (u32, u32),
-    /// The node in force and the candidate's.
+    /// Node of the current map and of the candidate.
     pub nodes: (String, String),
-    /// What each of them returned.
+    /// Digest of the data that each node returned.
     pub digests: (Digest, Digest),
-    /// Begin and end of the read, begin and end of the try, on the gateway's clock.
+    /// Begin and end of the client's read, then of the shadow read, on the gateway's clock.
     pub times: [Micros; 4],
 }
 
-/// Latencies of one way, in microseconds.
+/// Latencies of the reads by one map, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many.
+    /// Number of reads.
     pub count: u64,
     /// The median.
     pub p50: u64,
-    /// 99 %.
+    /// The 99th percentile.
     pub p99: u64,
-    /// 99.9 %.
+    /// The 99.9th percentile.
     pub p999: u64,
-    /// The longest.
+    /// The maximum.
     pub most: u64,
 }
 
-/// Latencies of both ways, of the same reads.
+/// Latencies of the same reads by both maps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ways {
-    /// Of the map in force.
+    /// By the current map.
     pub current: Quantiles,
-    /// Of the candidate.
+    /// By the candidate.
     pub candidate: Quantiles,
 }
 
-/// What compared reads came to.
+/// Numbers of compared reads by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Results {
-    /// The same data.
+    /// Equal data.
     pub same: u64,
-    /// Different data, in a quiet interval, for the second time at least in this extent.
+    /// Different data that no write explains, at least for the second time in the extent.
     pub different: u64,
-    /// Different data, which a write in between explains.
+    /// Different data, explained by a write in between.
     pub raced: u64,
-    /// Different data, of which it is not known whether a write explains it; and the first in a quiet interval.
+    /// Different data where it is unknown whether a write explains it, or the first in the extent that no write explains.
     pub unknown: u64,
 }
 
-/// One shard of the candidate.
+/// Results of one shard of the candidate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLook {
     /// The shard.
     pub shard: u32,
-    /// What its tries came to.
+    /// Compared reads by result.
     pub results: Results,
-    /// Tries sent.
+    /// Shadow reads sent.
     pub sent: u64,
-    /// Tries that brought nothing to compare.
+    /// Shadow reads without data to compare, by cause.
     pub lost: BTreeMap<Lost, u64>,
-    /// Reads that were not tried.
+    /// Reads without a shadow read, by cause.
     pub not_tried: BTreeMap<Why, u64>,
-    /// Why differences stay unknown.
+    /// Differences that stay unknown, by cause.
     pub doubts: BTreeMap<Doubt, u64>,
-    /// Writes, on paper.
+    /// Writes, by where the candidate would send them.
     pub paper: BTreeMap<Paper, u64>,
-    /// Latencies.
+    /// Latencies of the compared reads.
     pub latency: Ways,
 }
 
-/// One extent that was compared.
+/// Results of one extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExtentLook {
-    /// The volume.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
     /// The extent.
     pub extent: u64,
-    /// Its shard in force.
+    /// Its shard in the current map.
     pub from: u32,
     /// Its shard in the candidate.
     pub to: u32,
-    /// What its tries came to.
+    /// Compared reads by result.
     pub results: Results,
 }
 
-/// An extent that has too little compared.
+/// An extent with too few equal reads so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lack {
-    /// The volume.
+    /// Namespace identifier of the volume.
     pub nsid: u32,
     /// The extent.
     pub extent: u64,
-    /// What came out the same so far.
+    /// Equal reads so far.
     pub same: u64,
 }
 
-/// Whether enough was compared.
+/// Whether the comparison is sufficient.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Enough {
     /// The candidate is wrong in these extents (volume, extent).
     Wrong(Vec<(u32, u64)>),
-    /// Not enough yet.
+    /// More reads have to be compared.
     NotYet {
-        /// Extents that lack, all of them.
+        /// All extents with too few equal reads.
         lacking: Vec<Lack>,
     },
-    /// Enough.
+    /// The bound and the number of reads in each extent are reached.
     Enough,
 }
 
-/// What is known of the candidate, over all gateways and lives heard of.
+/// Results of the candidate, merged over all known gateways and lives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The candidate's number, and its digest.
+    /// Number of the candidate.
     pub number: u64,
-    /// See `number`.
+    /// Digest of the candidate.
     pub digest: u64,
-    /// Gateways whose counts are in it, and lives.
+    /// Number of gateways whose counters are included.
     pub gateways: usize,
-    /// See `gateways`.
+    /// Number of lives (and instances) whose counters are included.
     pub lives: usize,
     /// Pairs of answers that were compared: the sum of `results`.
     pub compared: u64,
-    /// What they came to.
+    /// Compared reads by result.
     pub results: Results,
     /// Latencies of all compared pairs.
     pub latency: Ways,
-    /// Ends of tries that were told twice or too late, and passed over.
+    /// Ends of shadow reads that were reported twice or too late, and ignored.
     pub strange: u64,
-    /// For each shard of the candidate that something is known of.
+    /// Results by shard of the candidate; shards without any are omitted.
     pub shards: Vec<ShardLook>,
-    /// For each extent that something was compared in.
+    /// Results by extent; extents without a compared read are omitted.
     pub extents: Vec<ExtentLook>,
-    /// The first differences of each life, at most [`crate::MOST_EXAMPLES`] of one.
+    /// The first differences of each life, at most [`crate::MOST_EXAMPLES`] per life.
     pub examples: Vec<Example>,
-    /// At 95 %, at most this part of reads differs where nobody writes.
+    /// Upper bound, at 95 % confidence, of the fraction of reads that differ without a write.
     pub at_most: f64,
-    /// What it is to come to.
+    /// Target of that bound.
     pub target: f64,
-    /// Whether that is reached.
+    /// Whether the comparison is sufficient.
     pub enough: Enough,
 }
 
-/// The upper bound at 95 % on a part of which `seen` in `of` were seen: 3/n with none (the rule of three), else that of the
-/// Poisson distribution, rounded up.
-pub(crate) fn at_most(seen: u64, of: u64) -> f64 {
+/// Upper bound, at 95 % confidence, of a fraction of which `seen` in `of` samples were found: 3/n for none (the rule of
+/// three), otherwise the bound of the Poisson distribution, rounded up.
+pub(crate) fn upper_bound(seen: u64, of: u64) -> f64 {
     if of == 0 {
         return 1.0;
     }
@@ -180,7 +180,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 2).unwrap_or_else(|_| unreachable!("fixed bounds"))
+    Histogram::new_with_bounds(1, MAX_LATENCY, 2).unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
 impl Quantiles {
@@ -191,39 +191,44 @@
 }
 
 impl Results {
-    fn cell(&mut self, came: Came) -> Option<&mut u64> {
-        Some(match came {
-            Came::Same => &mut self.same,
-            Came::Different => &mut self.different,
-            Came::Raced => &mut self.raced,
-            Came::Unknown => &mut self.unknown,
-            Came::First => return None,
+    fn counter(&mut self, comparison: Comparison) -> Option<&mut u64> {
+        Some(match comparison {
+            Comparison::Same => &mut self.same,
+            Comparison::Different => &mut self.different,
+            Comparison::Raced => &mut self.raced,
+            Comparison::Unknown => &mut self.unknown,
+            Comparison::First => return None,
         })
     }
 
-    /// All of them.
+    /// Number of all compared reads.
     pub fn compared(&self) -> u64 {
         self.same + self.different + self.raced + self.unknown
     }
 }
 
 impl Verdict {
-    pub(crate) fn of(books: &Books, places: &Places, options: &ShadowOptions, digest: u64) -> Verdict {
+    pub(crate) fn of(
+        counters: &MergedCounters,
+        slice_map: &SliceMap,
+        options: &ShadowOptions,
+        digest: u64,
+    ) -> Verdict {
         let mut all = Results::default();
         let mut strange = 0;
         let mut shards: BTreeMap<u32, ShardLook> = BTreeMap::new();
         let mut extents: BTreeMap<(u32, u64), Results> = BTreeMap::new();
-        let mut ways: BTreeMap<(u32, Way), Histogram<u64>> = BTreeMap::new();
-        for (key, count) in books.sums() {
-            let Some(cell) = Cell::of(key, places) else { continue };
+        let mut ways: BTreeMap<(u32, ReadBy), Histogram<u64>> = BTreeMap::new();
+        for (key, count) in counters.sums() {
+            let Some(cell) = Cell::of(key, slice_map) else { continue };
             let of = |shards: &mut BTreeMap<u32, ShardLook>, shard, put: &dyn Fn(&mut ShardLook)| {
                 put(shards.entry(shard).or_insert_with(|| ShardLook { shard, ..ShardLook::default() }));
             };
             match cell {
-                Cell::Came(came, nsid, extent) => {
-                    let Some(place) = places.place(nsid, extent) else { continue };
+                Cell::Compared(comparison, nsid, extent) => {
+                    let Some(place) = slice_map.place(nsid, extent) else { continue };
                     let add = |results: &mut Results| {
-                        if let Some(sum) = results.cell(came) {
+                        if let Some(sum) = results.counter(comparison) {
                             *sum = sum.saturating_add(count);
                         }
                     };
@@ -236,8 +241,8 @@
                 Cell::Sent(s) => of(&mut shards, s, &|l| l.sent = count),
                 Cell::Lost(s, lost) => of(&mut shards, s, &|l| _ = l.lost.insert(lost, count)),
                 Cell::Paper(s, paper) => of(&mut shards, s, &|l| _ = l.paper.insert(paper, count)),
-                Cell::Strange => strange = count,
-                Cell::Took(s, way, bucket) => {
+                Cell::UnexpectedEnd => strange = count,
+                Cell::Latency(s, way, bucket) => {
                     ways.entry((s, way)).or_insert_with(histogram).saturating_record_n(bucket, count);
                 }
             }
@@ -247,59 +252,59 @@
             let look =
                 shards.entry(*shard).or_insert_with(|| ShardLook { shard: *shard, ..ShardLook::default() });
             let (one, sum) = match way {
-                Way::Current => (&mut look.latency.current, &mut total.0),
-                Way::Candidate => (&mut look.latency.candidate, &mut total.1),
+                ReadBy::Current => (&mut look.latency.current, &mut total.0),
+                ReadBy::Candidate => (&mut look.latency.candidate, &mut total.1),
             };
             *one = Quantiles::of(h);
-            // The bounds are the same, so that adding cannot fail.
+            // Both histograms have the same bounds, so adding them cannot fail.
             _ = sum.add(h);
         }
-        let (at_most, enough) = judge(&all, &extents, places, options);
+        let (at_most, enough) = judge(&all, &extents, slice_map, options);
         let looks = extents.iter().filter_map(|(&(nsid, extent), &results)| {
-            let place = places.place(nsid, extent)?;
+            let place = slice_map.place(nsid, extent)?;
             Some(ExtentLook { nsid, extent, from: place.from, to: place.to, results })
         });
-        let mut names: Vec<&PeerName> = books.books.keys().map(|owner| &owner.name).collect();
+        let mut names: Vec<&PeerName> = counters.owners.keys().map(|owner| &owner.name).collect();
         names.dedup();
         Verdict {
             number: options.candidate.number,
             digest,
             gateways: names.len(),
-            lives: books.books.len(),
+            lives: counters.owners.len(),
             compared: all.compared(),
             results: all,
             latency: Ways { current: Quantiles::of(&total.0), candidate: Quantiles::of(&total.1) },
             strange,
             shards: shards.into_values().collect(),
             extents: looks.collect(),
-            examples: books.books.values().flat_map(|book| book.examples.values().cloned()).collect(),
+            examples: counters.owners.values().flat_map(|book| book.examples.values().cloned()).collect(),
             at_most,
             target: options.target,
             enough,
         }
     }
 
-    /// Extents in which reads came out different.
+    /// Extents with different reads, as (volume, extent).
     pub fn wrong(&self) -> impl Iterator<Item = (u32, u64)> {
         self.extents.iter().filter(|look| look.results.different > 0).map(|look| (look.nsid, look.extent))
     }
 
-    /// One count over all shards.
+    /// Sum of one counter over all shards.
     pub fn sum<K: Ord>(&self, of: impl Fn(&ShardLook) -> &BTreeMap<K, u64>, key: K) -> u64 {
         self.shards.iter().filter_map(|look| of(look).get(&key)).sum()
     }
 }
 
-/// The bound, and whether it is enough. What is raced proves nothing and is left out of both sides; what is unknown may be
-/// different, and is taken for it.
+/// Computes the bound, and whether the comparison is sufficient. Raced reads prove nothing and are left out of both numbers;
+/// unknown reads may be different and count as different.
 fn judge(
     all: &Results,
     extents: &BTreeMap<(u32, u64), Results>,
-    places: &Places,
+    slice_map: &SliceMap,
     options: &ShadowOptions,
 ) -> (f64, Enough) {
     let bad = all.different + all.unknown;
-    let at_most = at_most(bad, all.same + bad);
+    let at_most = upper_bound(bad, all.same + bad);
     let wrong: Vec<_> = extents.iter().filter(|(_, r)| r.different > 0).map(|(at, _)| *at).collect();
     if !wrong.is_empty() {
         return (at_most, Enough::Wrong(wrong));
@@ -308,14 +313,14 @@
         let same = extents.get(&(nsid, extent)).map_or(0, |results| results.same);
         (same < options.each).then_some(Lack { nsid, extent, same })
     };
-    let moved = places.all().filter(|place| place.from != place.to);
+    let moved = slice_map.all().filter(|place| place.from != place.to);
     let lacking: Vec<Lack> = moved.filter_map(|place| lacks((place.nsid, place.extent))).collect();
     let is_enough = lacking.is_empty() && at_most <= options.target;
     (at_most, if is_enough { Enough::Enough } else { Enough::NotYet { lacking } })
 }
 
-/// How many lines of a kind are shown.
-const SHOWN: usize = 8;
+/// Maximum number of lines of one kind in the text form.
+const MAX_LINES: usize = 8;
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -354,17 +359,17 @@
             )?;
         }
         if let Enough::NotYet { lacking } = &self.enough {
-            for l in lacking.iter().take(SHOWN) {
+            for l in lacking.iter().take(MAX_LINES) {
                 writeln!(f, "  lacks: volume {} extent {}: {} the same", l.nsid, l.extent, l.same)?;
             }
         }
         let wrong = self.extents.iter().filter(|look| look.results.different > 0);
-        for look in wrong.take(SHOWN) {
+        for look in wrong.take(MAX_LINES) {
             let ExtentLook { nsid, extent, from, to, results } = look;
             write!(f, "  wrong: volume {nsid} extent {extent}, shard {from} to {to}: ")?;
             writeln!(f, "{} of {} different", results.different, results.compared())?;
         }
-        for e in self.examples.iter().take(SHOWN) {
+        for e in self.examples.iter().take(MAX_LINES) {
             write!(
                 f,
                 "  e.g. volume {} blocks {}+{}: {} has {}, ",
@@ -378,16 +383,16 @@
 
 #[cfg(test)]
 mod tests {
-    use super::at_most;
+    use super::upper_bound;
 
     #[test]
-    fn the_bound_is_the_rule_of_three_and_never_under_the_exact_one() {
-        assert_eq!(at_most(0, 0), 1.0);
-        assert_eq!(at_most(0, 30_000), 1e-4);
-        // Upper bounds at 95 % (one-sided) of a Poisson mean, from its tables.
+    fn bound_is_the_rule_of_three_and_never_below_the_exact_one() {
+        assert_eq!(upper_bound(0, 0), 1.0);
+        assert_eq!(upper_bound(0, 30_000), 1e-4);
+        // One-sided upper bounds at 95 % of a Poisson mean, from tables.
         for (seen, exact) in [(1, 4.744), (2, 6.296), (5, 10.513), (10, 16.962), (50, 63.287), (100, 118.079)]
         {
-            let bound = at_most(seen, 1_000_000) * 1e6;
+            let bound = upper_bound(seen, 1_000_000) * 1e6;
             assert!(bound >= exact && bound < exact + 2.0, "{seen}: {bound}");
         }
     }
--- a/crates/shadow/tests/merging.rs
+++ b/crates/shadow/tests/merging.rs
@@ -1,4 +1,4 @@
-//! Partitions, restarts, notes doubled and out of order: nothing is counted twice.
+//! Partitions, restarts, duplicated and reordered messages: nothing is counted twice.
 
 mod model;
 
@@ -11,9 +11,9 @@
     world
 }
 
-/// Halves are cut from each other, then one gateway's power goes twice; at the end all is joined.
+/// The fleet is partitioned into halves, and two gateways lose their power in turn; at the end all are connected.
 #[test]
-fn a_partition_and_restarts_in_the_middle_add_nothing_twice() {
+fn partition_and_restarts_count_nothing_twice() {
     let mut world = fleet(11, Plant::None);
     world.run(300_000, |_| false);
     let halves = [(0, 2), (0, 3), (1, 2), (1, 3)];
@@ -29,9 +29,9 @@
     world.run(30_000, |_| false);
     world.start(1);
     world.run(300_000, |_| false);
-    assert!(world.settle(), "they do not come to say the same");
+    assert!(world.settle(), "the gateways do not converge");
     let verdict = world.verdict(0);
-    // Lost is at most what the two killed lives sent after they last kept their counts.
+    // At most what the two killed lives sent after they last stored their counters is lost.
     let killed = [(1, 0), (2, 0)].map(|(of, life): (usize, usize)| world.gateways[of].truth[life]);
     let lost: u64 = killed.iter().map(|truth| truth.sent - truth.sent_when_kept).sum();
     let (sent, truth) = (model::sent(&verdict), world.sent());
@@ -39,15 +39,15 @@
     assert!(verdict.compared <= world.compared());
     assert_eq!((verdict.results.different, verdict.lives, verdict.gateways), (0, 6, 4));
     assert!(verdict.results.raced > 0);
-    // Nothing more is on its way: the count stays.
+    // No more messages are in flight: the counters stay the same.
     world.run(1_000_000, |_| false);
     assert_eq!(world.verdict(3), verdict);
 }
 
-/// All lives' counts were heard before they ended: the sum is exact.
-fn restarts_between(plant: Plant) -> (u64, u64) {
+/// All counters of each life reach its peers before it ends, so the sum must be exact.
+fn sent_with_restarts(plant: Plant) -> (u64, u64) {
     let mut world = World::new(12, 4, Fault::None, plant);
-    // Nothing is ever kept: what a life has told its peers comes back from them.
+    // Nothing is ever stored: the counters come back from the peers.
     world.options = Box::new(move |options| ShadowOptions { plant, keep: i64::MAX, ..options });
     world.start_all();
     for of in [1, 2, 1] {
@@ -66,20 +66,20 @@
 }
 
 #[test]
-fn counts_of_ended_lives_stay_and_are_counted_once() {
-    let (sent, truth) = restarts_between(Plant::None);
+fn counters_of_ended_lives_stay_and_count_once() {
+    let (sent, truth) = sent_with_restarts(Plant::None);
     assert_eq!(sent, truth);
 }
 
 #[test]
-fn a_count_owned_by_a_name_is_caught() {
-    let (sent, truth) = restarts_between(Plant::NameOwns);
+fn counters_owned_by_a_name_are_detected() {
+    let (sent, truth) = sent_with_restarts(Plant::NameOwns);
     assert_ne!(sent, truth);
 }
 
-/// All power goes at once: what was kept is there again.
+/// All gateways lose their power at once: the stored counters are restored.
 #[test]
-fn all_gateways_lose_their_power_and_at_most_the_last_interval() {
+fn power_loss_of_all_gateways_loses_at_most_the_last_store_interval() {
     let mut world = fleet(13, Plant::None);
     world.run(1_060_000, |_| false);
     (0..4).for_each(|of| world.kill(of));
@@ -93,9 +93,9 @@
     assert!(kept >= before * 4 / 5 && kept < before, "{kept} of {before}");
 }
 
-/// A gateway goes on in another life without a restart: what it counted before stays its earlier life's, and is kept.
+/// A gateway continues in another life without a restart: its earlier counters stay those of the earlier life, and are stored.
 #[test]
-fn a_life_that_is_renewed_counts_on_under_the_next() {
+fn renewed_life_counts_under_a_new_owner() {
     let mut world = fleet(17, Plant::None);
     world.run(300_000, |_| false);
     for turn in 2..4 {
@@ -112,7 +112,7 @@
     assert_eq!(model::sent(&world.verdict(1)), world.sent());
 }
 
-/// Two gateways hold one candidate, two another.
+/// Two gateways have one candidate, two another. Returns the shadow reads of the first two as well.
 fn two_candidates(plant: Plant) -> (World, u64) {
     let mut world = World::new(14, 4, Fault::None, plant);
     (0..2).for_each(|of| world.start(of));
@@ -126,24 +126,27 @@
 }
 
 #[test]
-fn gateways_with_different_candidates_never_add_up_their_counts() {
+fn counters_of_different_candidates_are_not_added() {
     let (world, own) = two_candidates(Plant::None);
     assert_eq!(model::sent(&world.verdict(0)), own);
     assert_eq!(world.verdict(0), world.verdict(1));
     assert_ne!(world.verdict(0).digest, world.verdict(2).digest);
-    let told = &world.gateways[0].turned_away;
-    assert!(told.iter().any(|(from, why)| *from == name(2) && why.contains("another candidate")), "{told:?}");
-    assert_eq!(told.len(), 2, "once for each");
+    let rejections = &world.gateways[0].turned_away;
+    assert!(
+        rejections.iter().any(|(from, why)| *from == name(2) && why.contains("another candidate")),
+        "{rejections:?}"
+    );
+    assert_eq!(rejections.len(), 2, "once for each");
 }
 
 #[test]
-fn counts_of_different_digests_added_are_caught() {
+fn added_counters_of_another_candidate_are_detected() {
     let (world, own) = two_candidates(Plant::DigestsAdded);
     assert_ne!(model::sent(&world.verdict(0)), own);
 }
 
 #[test]
-fn what_was_kept_of_another_candidate_or_is_no_book_is_told_and_passed_over() {
+fn stored_counters_that_do_not_fit_are_reported_and_ignored() {
     let mut world = fleet(15, Plant::None);
     world.run(400_000, |_| false);
     for (kept, why) in [(None, "another candidate's"), (Some(vec![1, 2, 3]), "cannot be read")] {
@@ -152,14 +155,17 @@
         world.gateways[0].kept = kept.or(world.gateways[0].kept.take());
         world.gateways[0].turned_away.clear();
         world.start(0);
-        let told = &world.gateways[0].turned_away;
-        assert!(told.iter().any(|(from, said)| *from == name(0) && said.contains(why)), "{told:?}");
+        let rejections = &world.gateways[0].turned_away;
+        assert!(
+            rejections.iter().any(|(from, said)| *from == name(0) && said.contains(why)),
+            "{rejections:?}"
+        );
         assert_eq!(model::sent(&world.verdict(0)), 0);
     }
 }
 
 #[test]
-fn notes_that_are_no_notes_are_told_once() {
+fn invalid_messages_are_reported_once() {
     let mut world = fleet(16, Plant::None);
     for body in [vec![9; 10], vec![0; 100_000], vec![9; 11]] {
         world.tell(0, Input::Heard { from: name(1), life: model::life(1), body });
--- a/crates/shadow/tests/model/mod.rs
+++ b/crates/shadow/tests/model/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: gateways with a shadow each, clients that read and write at all of them, a store with two maps.
+//! Simulated fleet in virtual time: gateways with a shadow each, clients that read and write at all of them, and a store with
+//! two maps.
 #![allow(dead_code)]
 
 mod store;
@@ -19,12 +20,12 @@
     Answered(Input),
     Apply { nsid: u32, slba: u64, blocks: u32, stamp: u64 },
     Try { id: TryId, shard: u32, nsid: u32, slba: u64, blocks: u32 },
-    Note { from: usize, life: Life, body: Vec<u8> },
+    Message { from: usize, life: Life, body: Vec<u8> },
     Tick,
-    Lose,
+    LoseWrites,
 }
 
-/// What one instance has really done, counted by the model.
+/// What one instance has actually done, as counted by the model.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Truth {
     pub sent: u64,
@@ -55,12 +56,12 @@
     pub cut: BTreeSet<(usize, usize)>,
     pub tries: BTreeMap<(u32, i64), u64>,
     pub loss: f64,
-    /// Notes sent, and their bytes.
+    /// Number of messages sent, and their bytes.
     pub notes: (u64, u64),
     rng: SmallRng,
     events: BTreeMap<(i64, u64), (usize, u64, Event)>,
-    count: u64,
-    /// Extents that ever read differently: for the lost writes, which later ones repair.
+    event_count: u64,
+    /// Extents that differed at the time of the fault; later writes may repair them.
     pub differed: BTreeSet<(u32, u64)>,
 }
 
@@ -99,17 +100,17 @@
             notes: (0, 0),
             rng: SmallRng::seed_from_u64(seed),
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             differed: BTreeSet::new(),
         };
         if let Fault::Stale(at) = fault {
-            world.after(at, 0, Event::Lose);
+            world.after(at, 0, Event::LoseWrites);
         }
         world.differed = world.store.differing();
         world
     }
 
-    /// Starts all gateways and their clients.
+    /// Starts all gateways with their clients.
     pub fn start_all(&mut self) {
         for of in 0..self.gateways.len() {
             self.start(of);
@@ -117,9 +118,9 @@
     }
 
     fn after(&mut self, by: i64, of: usize, event: Event) {
-        self.count += 1;
+        self.event_count += 1;
         let life = self.gateways[of].life;
-        self.events.insert((self.now + by.max(0), self.count), (of, life, event));
+        self.events.insert((self.now + by.max(0), self.event_count), (of, life, event));
     }
 
     pub fn start(&mut self, of: usize) {
@@ -135,7 +136,8 @@
         options.patience = 20_000;
         let options = (self.options)(options);
         let (now, seed) = (self.now + g.clock, mix(&[of as u64, g.life]));
-        let shadow = Shadow::new(options, life(g.life), g.kept.as_deref(), now, seed).expect("it fits");
+        let shadow =
+            Shadow::new(options, life(g.life), g.kept.as_deref(), now, seed).expect("the candidate fits");
         g.shadow = Some(shadow);
         let nodes = (1..=3).chain(11..=13).map(|shard| (shard, format!("n{shard}"))).collect();
         self.tell(of, Input::Nodes(nodes));
@@ -143,7 +145,7 @@
         self.after(1, of, Event::Client(of));
     }
 
-    /// The power goes: what was not kept is lost, what is in flight at nodes may yet run.
+    /// Power loss: counters that were not stored are lost, and writes in flight at nodes may still run.
     pub fn kill(&mut self, of: usize) {
         self.gateways[of].shadow = None;
     }
@@ -161,48 +163,48 @@
             g.tick_at = due;
             self.after(due - self.now, of, Event::Tick);
         }
-        out.into_iter().for_each(|output| self.carry_out(of, output));
+        out.into_iter().for_each(|output| self.execute(of, output));
     }
 
-    fn carry_out(&mut self, of: usize, output: Output) {
+    fn execute(&mut self, of: usize, output: Output) {
         match output {
             Output::Try { id, node, shard, nsid, slba, blocks, patience: _ } => {
                 assert_eq!(node, format!("n{shard}"));
                 *self.tries.entry((shard, self.now / 1_000_000)).or_default() += 1;
                 let g = &mut self.gateways[of];
-                g.truth.last_mut().expect("it lives").sent += 1;
-                assert!(g.ids.insert(id), "a name is used twice");
+                g.truth.last_mut().expect("the gateway runs").sent += 1;
+                assert!(g.ids.insert(id), "an identifier is reused");
                 let took = self.rng.random_range(50..2_000);
                 self.after(took, of, Event::Try { id, shard, nsid, slba, blocks });
             }
             Output::Send { to, body } => {
                 let to: usize = to.0[1..].parse().expect("a peer");
                 let life = life(self.gateways[of].life);
-                assert!(body.len() <= 64 << 10, "a note of {} bytes", body.len());
+                assert!(body.len() <= 64 << 10, "a message of {} bytes", body.len());
                 self.notes = (self.notes.0 + 1, self.notes.1 + body.len() as u64);
                 let copies = [(1.0 - self.loss), 0.05].map(|p| self.rng.random_bool(p));
                 for _ in copies.iter().filter(|sent| **sent) {
                     let delay = self.rng.random_range(100..10_000);
-                    self.count += 1;
-                    let at = (self.now + delay, self.count);
-                    // It reaches whatever life is there then.
-                    self.events.insert(at, (to, 0, Event::Note { from: of, life, body: body.clone() }));
+                    self.event_count += 1;
+                    let at = (self.now + delay, self.event_count);
+                    // It reaches whichever life of the receiver is running then.
+                    self.events.insert(at, (to, 0, Event::Message { from: of, life, body: body.clone() }));
                 }
             }
             Output::Keep(bytes) => {
                 let g = &mut self.gateways[of];
                 g.kept = Some(bytes);
-                let truth = g.truth.last_mut().expect("it lives");
+                let truth = g.truth.last_mut().expect("the gateway runs");
                 truth.sent_when_kept = truth.sent;
             }
             Output::TurnedAway { from, why } => self.gateways[of].turned_away.push((from, why)),
         }
     }
 
-    /// Runs until a condition holds; tells whether it came to hold before the limit.
+    /// Runs until a condition holds; returns whether it did before the limit.
     pub fn run(&mut self, limit: i64, mut until: impl FnMut(&World) -> bool) -> bool {
         let end = self.now + limit;
-        let mut look_at = self.now;
+        let mut next_check_at = self.now;
         while let Some(((at, _), _)) = self.events.first_key_value() {
             if *at > end {
                 self.now = end;
@@ -210,29 +212,29 @@
             }
             let Some(((at, _), (of, life, event))) = self.events.pop_first() else { break };
             self.now = at;
-            if at >= look_at {
+            if at >= next_check_at {
                 if until(self) {
-                    // It is yet to come.
-                    self.count += 1;
-                    self.events.insert((at, self.count), (of, life, event));
+                    // The event has not happened yet.
+                    self.event_count += 1;
+                    self.events.insert((at, self.event_count), (of, life, event));
                     return true;
                 }
-                look_at = at + 10_000;
+                next_check_at = at + 10_000;
             }
             if life == 0 || life == self.gateways[of].life {
-                self.step(of, event);
+                self.process_event(of, event);
             } else if let Event::Apply { .. } = event {
-                self.step(of, event);
+                self.process_event(of, event);
             }
         }
         until(self)
     }
 
-    fn step(&mut self, of: usize, event: Event) {
+    fn process_event(&mut self, of: usize, event: Event) {
         match event {
             Event::Client(of) => {
                 if self.clients && self.gateways[of].shadow.is_some() {
-                    self.request(of);
+                    self.send_request(of);
                 }
                 let next = self.rng.random_range(50..600);
                 self.after(next, of, Event::Client(of));
@@ -242,8 +244,8 @@
                 let digest = self.store.read(shard, nsid, slba, blocks);
                 let ended = self.now + self.rng.random_range(20..1_000);
                 let clock = self.gateways[of].clock;
-                let (node, began, told) = (format!("n{shard}"), began + clock, ended + clock);
-                let read = Input::Read { nsid, slba, blocks, node, began, ended: told, digest };
+                let (node, began, reported_end) = (format!("n{shard}"), began + clock, ended + clock);
+                let read = Input::Read { nsid, slba, blocks, node, began, ended: reported_end, digest };
                 self.after(ended - self.now, of, Event::Answered(read));
             }
             Event::Answered(input) => self.tell(of, input),
@@ -251,7 +253,7 @@
                 self.store.write(self.now, nsid, slba, blocks, stamp)
             }
             Event::Try { id, shard, nsid, slba, blocks } => self.answer(of, id, shard, (nsid, slba, blocks)),
-            Event::Note { from, life, body } => {
+            Event::Message { from, life, body } => {
                 if !self.cut.contains(&(from, of)) {
                     self.tell(of, Input::Heard { from: name(from), life, body });
                 }
@@ -262,19 +264,19 @@
                     self.tell(of, Input::Tick);
                 }
             }
-            Event::Lose => {
-                self.store.lose(self.now);
+            Event::LoseWrites => {
+                self.store.lose_writes(self.now);
                 self.differed = self.store.differing();
             }
         }
     }
 
-    fn request(&mut self, of: usize) {
+    fn send_request(&mut self, of: usize) {
         let nsid = VOLUMES[self.rng.random_range(0..2)];
         let blocks = self.rng.random_range(1..=32);
         let slba = self.rng.random_range(0..EXTENTS) * EXTENT_BLOCKS;
         let slba = slba + self.rng.random_range(0..=EXTENT_BLOCKS - u64::from(blocks));
-        // A part of it meets in a few blocks.
+        // Some requests go to a few hot blocks.
         let is_hot = self.rng.random_bool(0.1);
         let slba = if is_hot { slba % EXTENT_BLOCKS % 64 + EXTENT_BLOCKS * (slba % 4) } else { slba };
         if self.rng.random_bool(0.8) {
@@ -285,7 +287,7 @@
         self.tell(of, Input::WriteBegan { nsid, slba, blocks, token });
         let took = self.rng.random_range(100..3_000);
         let known = !self.rng.random_bool(0.03);
-        // One of unknown outcome takes effect at any time until its rest is over, or never.
+        // A write of unknown outcome takes effect at any time until its rest period ends, or never.
         let applies = if known {
             Some(self.rng.random_range(0..=took))
         } else {
@@ -301,36 +303,36 @@
     fn answer(&mut self, of: usize, id: TryId, shard: u32, (nsid, slba, blocks): (u32, u64, u32)) {
         let fault = if shard == BAD { self.store.fault } else { Fault::None };
         let data = match fault {
-            // The caller keeps the patience.
-            Fault::Stall => return self.late(of, id, Tried::TimedOut),
+            // The caller enforces the timeout.
+            Fault::Stall => return self.answer_late(of, id, Tried::TimedOut),
             Fault::Lie => Digest::of(&self.rng.random::<[u8; 8]>()),
             _ => self.store.read(shard, nsid, slba, blocks),
         };
         let outcome = if self.rng.random_bool(0.001) { Tried::Failed } else { Tried::Data(data) };
         if matches!(outcome, Tried::Data(_)) {
-            self.gateways[of].truth.last_mut().expect("it lives").compared += 1;
+            self.gateways[of].truth.last_mut().expect("the gateway runs").compared += 1;
         }
-        let back = self.rng.random_range(20..1_000);
-        let ended = self.now + back + self.gateways[of].clock;
+        let delay = self.rng.random_range(20..1_000);
+        let ended = self.now + delay + self.gateways[of].clock;
         let answers = if fault == Fault::Twice { vec![0, 50, 60_000] } else { vec![0] };
         for more in answers {
-            self.after(back + more, of, Event::Answered(Input::Tried { id, ended, outcome }));
+            self.after(delay + more, of, Event::Answered(Input::Tried { id, ended, outcome }));
         }
     }
 
-    fn late(&mut self, of: usize, id: TryId, outcome: Tried) {
+    fn answer_late(&mut self, of: usize, id: TryId, outcome: Tried) {
         let ended = self.now + 20_000 + self.gateways[of].clock;
-        // Every third end is not even told.
+        // Every third end is not reported at all.
         if !id.0.is_multiple_of(3) {
             self.after(20_000, of, Event::Answered(Input::Tried { id, ended, outcome }));
         }
     }
 
     pub fn verdict(&self, of: usize) -> Verdict {
-        self.gateways[of].shadow.as_ref().expect("it lives").verdict()
+        self.gateways[of].shadow.as_ref().expect("the gateway runs").verdict()
     }
 
-    /// Tries sent by all lives of all gateways, as the model counted.
+    /// Shadow reads sent by all lives of all gateways, as counted by the model.
     pub fn sent(&self) -> u64 {
         self.gateways.iter().flat_map(|g| &g.truth).map(|truth| truth.sent).sum()
     }
@@ -339,26 +341,26 @@
         self.gateways.iter().flat_map(|g| &g.truth).map(|truth| truth.compared).sum()
     }
 
-    /// Stops the clients and waits until all live gateways say the same, with nothing held.
+    /// Stops the clients and waits until all running gateways have equal verdicts and nothing is pending.
     pub fn settle(&mut self) -> bool {
         self.clients = false;
-        let mut look_at = 0;
+        let mut next_check_at = 0;
         let settled = move |w: &World| {
-            if w.now < look_at {
+            if w.now < next_check_at {
                 return false;
             }
-            look_at = w.now + 200_000;
+            next_check_at = w.now + 200_000;
             let live: Vec<&Shadow> = w.gateways.iter().filter_map(|g| g.shadow.as_ref()).collect();
             live.iter().all(|shadow| shadow.held() == (0, 0))
                 && live.windows(2).all(|two| two[0].verdict() == two[1].verdict())
         };
-        // What is on its way out is counted by then.
+        // Requests in flight end within this time.
         self.run(100_000, |_| false);
         self.run(60_000_000, settled)
     }
 }
 
-/// Tries sent, by a verdict.
+/// Shadow reads sent, according to a verdict.
 pub fn sent(verdict: &Verdict) -> u64 {
     verdict.shards.iter().map(|shard| shard.sent).sum()
 }
--- a/crates/shadow/tests/model/store.rs
+++ b/crates/shadow/tests/model/store.rs
@@ -1,4 +1,5 @@
-//! A store with two maps: blocks are numbers, a write shows at both homes of an extent at one moment, and nodes go wrong.
+//! Simulated store with two maps: blocks are numbers, a write shows at both shards of an extent at once, and a node can be
+//! faulty.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,10 +8,10 @@
 pub const EXTENTS: u64 = 24;
 pub const EXTENT_BLOCKS: u64 = 512;
 pub const VOLUMES: [u32; 2] = [1, 2];
-/// Shards in force are 1 to 3, those of the candidate 11 to 13; this one's node goes wrong.
+/// The current map has shards 1 to 3, the candidate 11 to 13; the node of this one is faulty.
 pub const BAD: u32 = 12;
 
-/// What is wrong with the candidate, or with the node of [`BAD`].
+/// Fault of the candidate, or of the node of [`BAD`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
@@ -18,13 +19,13 @@
     Wrong,
     /// The node loses its last second of writes at this time.
     Stale(i64),
-    /// Each ten-thousandth block, by its number, comes back garbled.
+    /// One block in ten thousand, selected by a hash, is returned garbled.
     Garble,
-    /// It never answers.
+    /// The node never answers.
     Stall,
-    /// It answers with anything.
+    /// The node answers with random data.
     Lie,
-    /// It answers each try twice, and once more later.
+    /// The node answers each shadow read twice, and once more later.
     Twice,
 }
 
@@ -40,12 +41,12 @@
     VolumeMap { nsid, blocks: EXTENTS * EXTENT_BLOCKS, extent_blocks: EXTENT_BLOCKS, shards }
 }
 
-/// The map in force.
+/// The current map.
 pub fn current() -> Vec<VolumeMap> {
     VOLUMES.iter().map(|&nsid| map(nsid, |extent| 1 + ((extent + u64::from(nsid)) % 3) as u32)).collect()
 }
 
-/// Where the data lies that was moved: one extent in eight stays.
+/// The map of the moved data: one extent in eight stays on its shard.
 fn moved() -> Vec<VolumeMap> {
     let stays = current();
     let shard = |nsid: u32, extent: u64| {
@@ -62,28 +63,28 @@
 pub struct Store {
     pub fault: Fault,
     pub candidate: Candidate,
-    /// The extent that the candidate names a wrong shard for.
+    /// The extent for which the candidate names a wrong shard.
     pub wrong: Option<(u32, u64)>,
     salt: u64,
-    homes: [Vec<VolumeMap>; 2],
+    maps: [Vec<VolumeMap>; 2],
     written: BTreeMap<(u32, u64), u64>,
-    /// What the bad node holds in place of what was written.
+    /// Old values that the faulty node holds instead of lost writes.
     lost: BTreeMap<(u32, u64), u64>,
-    log: VecDeque<(i64, (u32, u64), u64)>,
+    recent_writes: VecDeque<(i64, (u32, u64), u64)>,
 }
 
 impl Store {
     pub fn new(fault: Fault, slice: f64) -> Store {
         let mut candidate = candidate(slice);
-        let homes = [current(), candidate.volumes.clone()];
-        let drawn = |nsid, extent| candidate.is_in_slice(nsid, extent) && extent % 8 != 7;
+        let maps = [current(), candidate.volumes.clone()];
+        let selected = |nsid, extent| candidate.is_in_slice(nsid, extent) && extent % 8 != 7;
         let all = || VOLUMES.iter().flat_map(|&nsid| (0..EXTENTS).map(move |extent| (nsid, extent)));
         let wrong = all()
-            .find(|&(nsid, extent)| nsid == 2 && extent > 9 && drawn(nsid, extent))
-            .expect("one is drawn");
+            .find(|&(nsid, extent)| nsid == 2 && extent > 9 && selected(nsid, extent))
+            .expect("one is selected");
         let on_bad = |nsid: u32, block: u64| {
             let extent = block / EXTENT_BLOCKS;
-            drawn(nsid, extent) && homes[1][(nsid - 1) as usize].shards[extent as usize] == BAD
+            selected(nsid, extent) && maps[1][(nsid - 1) as usize].shards[extent as usize] == BAD
         };
         let garbled = |salt| {
             let blocks = |nsid| (0..EXTENTS * EXTENT_BLOCKS).map(move |block| (nsid, block));
@@ -97,26 +98,26 @@
             *shard = 11 + (*shard - 11 + 1) % 3;
         }
         let wrong = (fault == Fault::Wrong).then_some(wrong);
-        let (written, lost, log) = (BTreeMap::new(), BTreeMap::new(), VecDeque::new());
-        Store { fault, candidate, wrong, salt, homes, written, lost, log }
+        let (written, lost, recent_writes) = (BTreeMap::new(), BTreeMap::new(), VecDeque::new());
+        Store { fault, candidate, wrong, salt, maps, written, lost, recent_writes }
     }
 
-    /// A write takes effect.
+    /// Applies a write.
     pub fn write(&mut self, now: i64, nsid: u32, slba: u64, blocks: u32, stamp: u64) {
         for block in slba..slba + u64::from(blocks) {
             let old = self.value(nsid, block);
-            self.log.push_back((now, (nsid, block), old));
+            self.recent_writes.push_back((now, (nsid, block), old));
             self.written.insert((nsid, block), stamp);
             self.lost.remove(&(nsid, block));
         }
-        while self.log.front().is_some_and(|(at, ..)| at + 1_000_000 < now) {
-            self.log.pop_front();
+        while self.recent_writes.front().is_some_and(|(at, ..)| at + 1_000_000 < now) {
+            self.recent_writes.pop_front();
         }
     }
 
-    /// The bad node loses its last second of writes.
-    pub fn lose(&mut self, now: i64) {
-        for (at, key, old) in self.log.iter().rev() {
+    /// Makes the faulty node lose its last second of writes.
+    pub fn lose_writes(&mut self, now: i64) {
+        for (at, key, old) in self.recent_writes.iter().rev() {
             if at + 1_000_000 >= now {
                 self.lost.insert(*key, *old);
             }
@@ -128,9 +129,9 @@
         self.written.get(&(nsid, block)).copied().unwrap_or_else(base)
     }
 
-    fn at(&self, shard: u32, nsid: u32, block: u64) -> u64 {
+    fn stored_value(&self, shard: u32, nsid: u32, block: u64) -> u64 {
         let extent = (block / EXTENT_BLOCKS) as usize;
-        if !self.homes.iter().any(|maps| maps[(nsid - 1) as usize].shards[extent] == shard) {
+        if !self.maps.iter().any(|volumes| volumes[(nsid - 1) as usize].shards[extent] == shard) {
             return mix(&[u64::from(shard), u64::from(nsid), block]);
         }
         let value = self.value(nsid, block);
@@ -139,21 +140,22 @@
         lost.unwrap_or(value) ^ u64::from(garbled)
     }
 
-    /// A node's answer to a read, by its shard.
+    /// The answer of a shard's node to a read.
     pub fn read(&self, shard: u32, nsid: u32, slba: u64, blocks: u32) -> Digest {
-        let data =
-            (slba..slba + u64::from(blocks)).flat_map(|block| self.at(shard, nsid, block).to_le_bytes());
+        let data = (slba..slba + u64::from(blocks))
+            .flat_map(|block| self.stored_value(shard, nsid, block).to_le_bytes());
         Digest::of(&data.collect::<Vec<u8>>())
     }
 
-    /// Extents of the slice that read differently in both maps now, or did so right after a loss.
+    /// Extents of the slice whose data differs between both maps now.
     pub fn differing(&self) -> BTreeSet<(u32, u64)> {
         let mut found = BTreeSet::new();
         for (volume, from) in self.candidate.volumes.iter().zip(current()) {
             for block in 0..volume.blocks {
                 let extent = block / EXTENT_BLOCKS;
                 let (to, from) = (volume.shards[extent as usize], from.shards[extent as usize]);
-                let differs = self.at(to, volume.nsid, block) != self.at(from, volume.nsid, block);
+                let differs =
+                    self.stored_value(to, volume.nsid, block) != self.stored_value(from, volume.nsid, block);
                 if differs && self.candidate.is_in_slice(volume.nsid, extent) {
                     found.insert((volume.nsid, extent));
                 }
