--- a/crates/shadow/src/counts.rs
+++ b/crates/shadow/src/counts.rs
@@ -110,9 +110,10 @@
         if value == 0 {
             return 0;
         }
-        let words = [u64::from(self.0) << 32 | u64::from(self.1), self.2, value];
-        words.iter().fold(0, |hash: u64, word| {
-            let mixed = (hash ^ word).wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let numbers = [u64::from(self.0) << 32 | u64::from(self.1), self.2, value];
+        numbers.iter().fold(0, |hash: u64, number| {
+            let mixed =
+                (hash ^ number).wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             mixed ^ mixed >> 29
         })
     }
--- a/crates/shadow/src/gossip.rs
+++ b/crates/shadow/src/gossip.rs
@@ -130,7 +130,8 @@
     fn merge_page(&mut self, now: Micros, from: &PeerName, page: &Page, out: &mut Vec<Output>) {
         if page.owner == self.owner && self.options.plant != Plant::NameOwns {
             // Only this gateway counts under its current life; a peer's copy can hold only what this gateway sent.
-            let own = self.counters.owners.get(&self.owner).map_or(0, |book| book.position);
+            let own =
+                self.counters.owners.get(&self.owner).map_or(0, |owner_counters| owner_counters.position);
             if page.cells.iter().any(|(_, count)| count.version > own) {
                 self.reject(from.clone(), "it counts under this gateway's life", out);
             }
@@ -154,20 +155,24 @@
     }
 
     pub(crate) fn has_unstored(&self) -> bool {
-        self.counters.owners.get(&self.owner).is_some_and(|book| book.position > self.stored_position)
+        self.counters
+            .owners
+            .get(&self.owner)
+            .is_some_and(|owner_counters| owner_counters.position > self.stored_position)
     }
 
     pub(crate) fn store(&mut self, now: Micros, out: &mut Vec<Output>) {
         let own = self.counters.owners.iter().filter(|(owner, _)| owner.name == self.options.name);
-        let pages = own.map(|(owner, book)| Page {
+        let pages = own.map(|(owner, owner_counters)| Page {
             owner: owner.clone(),
             from: 0,
-            cells: book.cells.iter().map(|(key, count)| (*key, *count)).collect(),
-            examples: book.examples.iter().map(|(at, example)| (*at, example.clone())).collect(),
+            cells: owner_counters.cells.iter().map(|(key, count)| (*key, *count)).collect(),
+            examples: owner_counters.examples.iter().map(|(at, example)| (*at, example.clone())).collect(),
         });
         out.push(Output::Keep(encode(&StoredCounters { digest: self.digest, pages: pages.collect() })));
         self.stored_at = now;
-        self.stored_position = self.counters.owners.get(&self.owner).map_or(0, |book| book.position);
+        self.stored_position =
+            self.counters.owners.get(&self.owner).map_or(0, |owner_counters| owner_counters.position);
     }
 
     pub(crate) fn restore(&mut self, now: Micros, kept: &[u8]) {
--- a/crates/shadow/src/merge.rs
+++ b/crates/shadow/src/merge.rs
@@ -133,29 +133,29 @@
         if !self.owners.contains_key(owner) {
             self.owners.insert(owner.clone(), OwnerCounters::default());
         }
-        if let Some(book) = self.owners.get_mut(owner) {
-            book.position += 1;
-            let value = book.cells.get(&cell.key()).map_or(0, |count| count.value) + 1;
-            book.join_cell(cell.key(), Count { value, version: book.position });
+        if let Some(owner_counters) = self.owners.get_mut(owner) {
+            owner_counters.position += 1;
+            let value = owner_counters.cells.get(&cell.key()).map_or(0, |count| count.value) + 1;
+            owner_counters.join_cell(cell.key(), Count { value, version: owner_counters.position });
         }
     }
 
     /// Adds an example of an owner, if there is room.
     pub(crate) fn example(&mut self, owner: &Owner, example: Example) {
-        if let Some(book) = self.owners.get_mut(owner) {
-            let at = book.examples.len();
+        if let Some(owner_counters) = self.owners.get_mut(owner) {
+            let at = owner_counters.examples.len();
             if at < MOST_EXAMPLES {
-                book.examples.insert(at as u32, example);
+                owner_counters.examples.insert(at as u32, example);
             }
         }
     }
 
     /// Version and checksum of each owner's counters.
     pub(crate) fn positions(&self) -> Vec<Position> {
-        let position = |(owner, book): (&Owner, &OwnerCounters)| Position {
+        let position = |(owner, owner_counters): (&Owner, &OwnerCounters)| Position {
             owner: owner.clone(),
-            have: book.position,
-            sum: book.sum,
+            have: owner_counters.position,
+            sum: owner_counters.sum,
         };
         self.owners.iter().map(position).collect()
     }
@@ -175,12 +175,14 @@
     ) -> Vec<Page> {
         let theirs: BTreeMap<&Owner, &Position> =
             theirs.iter().map(|position| (&position.owner, position)).collect();
-        let missing = self.owners.iter().filter_map(|(owner, book)| match theirs.get(owner) {
-            Some(position) if position.have == book.position && position.sum != book.sum => {
-                Some(book.random_page(owner, max_cells, random))
+        let missing = self.owners.iter().filter_map(|(owner, owner_counters)| match theirs.get(owner) {
+            Some(position)
+                if position.have == owner_counters.position && position.sum != owner_counters.sum =>
+            {
+                Some(owner_counters.random_page(owner, max_cells, random))
             }
-            Some(position) => book.page(owner, position.have, max_cells),
-            None => book.page(owner, 0, max_cells),
+            Some(position) => owner_counters.page(owner, position.have, max_cells),
+            None => owner_counters.page(owner, 0, max_cells),
         });
         missing.take(max_pages).collect()
     }
@@ -190,18 +192,18 @@
         if !self.owners.contains_key(&page.owner) && self.owners.len() >= most_owners {
             return false;
         }
-        let book = self.owners.entry(page.owner.clone()).or_default();
+        let owner_counters = self.owners.entry(page.owner.clone()).or_default();
         for (key, count) in &page.cells {
             if Cell::of(*key, slice_map).is_some() {
-                book.join_cell(*key, *count);
+                owner_counters.join_cell(*key, *count);
             }
         }
         for (at, example) in &page.examples {
-            book.join_example(*at, example);
+            owner_counters.join_example(*at, example);
         }
         let last_version = page.cells.iter().map(|(_, count)| count.version).max().unwrap_or(0);
-        if page.from <= book.position {
-            book.position = book.position.max(last_version);
+        if page.from <= owner_counters.position {
+            owner_counters.position = owner_counters.position.max(last_version);
         }
         true
     }
@@ -220,7 +222,7 @@
     /// Sums of all cells over their owners.
     pub(crate) fn sums(&self) -> BTreeMap<Key, u64> {
         let mut sums = BTreeMap::new();
-        for (key, count) in self.owners.values().flat_map(|book| &book.cells) {
+        for (key, count) in self.owners.values().flat_map(|owner_counters| &owner_counters.cells) {
             let sum: &mut u64 = sums.entry(*key).or_default();
             *sum = sum.saturating_add(count.value);
         }
--- a/crates/shadow/src/verdict.rs
+++ b/crates/shadow/src/verdict.rs
@@ -277,7 +277,11 @@
             strange,
             shards: shards.into_values().collect(),
             extents: looks.collect(),
-            examples: counters.owners.values().flat_map(|book| book.examples.values().cloned()).collect(),
+            examples: counters
+                .owners
+                .values()
+                .flat_map(|owner_counters| owner_counters.examples.values().cloned())
+                .collect(),
             at_most,
             target: options.target,
             enough,
--- a/crates/shadow/tests/planted.rs
+++ b/crates/shadow/tests/planted.rs
@@ -40,8 +40,8 @@
         ids.extend(pair.read(0, 1_000_000 + at * 100_000, at as u64));
         if let Some(id) = ids.last() {
             let ended = 1_050_000 + at * 100_000;
-            let told = Input::Tried { id: *id, ended, outcome: Tried::TimedOut };
-            ids.extend(pair.tell(0, ended, told));
+            let timed_out = Input::Tried { id: *id, ended, outcome: Tried::TimedOut };
+            ids.extend(pair.tell(0, ended, timed_out));
         }
     }
     assert!(pair.shadows[0].verdict().sum(|shard| &shard.lost, Lost::TimedOut) >= 50);
