--- a/crates/decisions/src/answers.rs
+++ b/crates/decisions/src/answers.rs
@@ -118,7 +118,7 @@
             self.close_request(id);
         } else if no_connection || now >= open.deadline || now >= open.send_by && open.is_unwritten() {
             self.finish_unserved(id, 0);
-        } else if !open.is_in_flight() && open.queued.is_none() {
+        } else if !open.is_in_flight() && open.waits_at.is_none() {
             self.enqueue(id);
         }
     }
@@ -185,12 +185,13 @@
 
     /// Records when a request that ends unserved was due, for its client's retry.
     ///
-    /// If each refusal of a late retry renewed this record, refusals would cause further refusals. The record
-    /// ends with the last try that came in time. The cost: a client that retries for longer gets a new
-    /// latency target.
+    /// If each refusal of a late retry renewed this record, refusals would cause further refusals. The
+    /// record's lifetime, `SWEEP_INTERVAL`, counts from the end of the last try that was not late. The cost:
+    /// a client that retries for longer than that gets a new latency target.
     pub(crate) fn remember_unserved(&mut self, id: RequestId) {
         if let Some(open) = self.state.requests.get(&id) {
-            let unserved = Unserved { due: open.first_due, ended: open.late_retry.unwrap_or(self.state.now) };
+            let unserved =
+                Unserved { due: open.first_due, ended: open.last_timely_try_ended.unwrap_or(self.state.now) };
             self.state.recent_unserved.insert(fingerprint(&open.request), unserved);
         }
     }
@@ -202,7 +203,7 @@
             self.state.wakes.insert((order.paused_until, Wake::Key(key)));
         } else if let Some(&id) = order.requests.front() {
             let open = self.state.requests.get(&id);
-            if open.is_some_and(|o| !o.finished && o.queued.is_none() && !o.is_in_flight()) {
+            if open.is_some_and(|o| !o.finished && o.waits_at.is_none() && !o.is_in_flight()) {
                 self.enqueue(id);
             }
         } else {
--- a/crates/decisions/src/causes.rs
+++ b/crates/decisions/src/causes.rs
@@ -51,7 +51,7 @@
     }
 
     fn cause(&self, open: &OpenRequest) -> UnservedCause {
-        let shard_id = open.queued.map(|(shard, _)| shard).or(open.request.shard);
+        let shard_id = open.waits_at.map(|(shard, _)| shard).or(open.request.shard);
         let lacks_token =
             || shard_id.is_some_and(|s| self.retry_tokens.get(&s).is_some_and(|tokens| tokens.left == 0));
         if self.awaited_tokens(open).is_some()
@@ -59,7 +59,7 @@
         {
             return UnservedCause::NoRetryToken;
         }
-        if open.queued.is_none() && open.late_retry.is_some() && open.attempts.is_empty() {
+        if open.waits_at.is_none() && open.is_late_retry() && open.attempts.is_empty() {
             return UnservedCause::NoSpareCapacity;
         }
         if !open.is_unwritten() {
@@ -70,7 +70,7 @@
             };
         }
         let nodes = shard_id.and_then(|s| self.shards.get(&s)).map_or(0, |s| s.nodes.len());
-        match open.queued {
+        match open.waits_at {
             _ if nodes == 0 => UnservedCause::NoNode,
             None if open.attempts.is_empty() => UnservedCause::BlockedByKeyOrder,
             _ if self.now >= open.send_by => UnservedCause::NotSentInTime,
--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/cold.rs
@@ -89,22 +89,24 @@
     ///
     /// Most hosts of a large fleet have no work for a given node, and slots given to them all are lost: cold
     /// nodes stayed nearly idle. The number of hosts that share a node is estimated from this host's own use
-    /// of the shards; what it has not seen yet counts in full (Good-Turing: the fraction of its requests
-    /// whose shard it saw only once). Each host draws for itself, so that the variance of the sum equals its
-    /// mean (Poisson), and is larger as the hosts that share a node come in groups, the hosts of a volume.
-    /// When the sum exceeds the 2 x root + 2 that count as chance, it does so by at least one whole slot, so
-    /// that its mean keeps `DEVIATIONS` free below that (by the quantiles of Cornish and Fisher). The cost: a
-    /// sixth of what a node can take is not given out, in groups of three up to a half.
+    /// of the shards, corrected for shards not seen yet by the Good-Turing coverage (1 - the fraction of its
+    /// requests whose shard it saw only once). Each host draws for itself, so that the variance of the
+    /// sum would equal its mean (Poisson); it is larger because the hosts that share a node come in groups,
+    /// the hosts of a volume. For n `requests`, the rule on cold nodes tolerates up to n + 2 sqrt(n) + 2 as
+    /// chance. The mean number of slots lies `DEVIATIONS` standard deviations below the first whole slot
+    /// beyond that (by the quantiles of Cornish and Fisher). The cost: a sixth of what a node can take is not
+    /// given out; with three hosts for each volume, up to a half.
     fn extra_slot_chance(&self, slots: f64, requests: f64, volume_hosts: f64) -> f64 {
         let usage = &self.state.shard_usage;
         let (received, hosts) = (usage.requests as f64, f64::from(self.settings.hosts));
         let (used, shards) = (usage.used as f64, self.state.shards.len().max(1) as f64);
-        let seen = (received - usage.used_once as f64) / received.max(1.0);
-        let sharers = (hosts * used / shards / seen.max(1e-9)).clamp(1.0, hosts);
-        let most = ((requests + 2.0 * requests.sqrt() + 2.0) * slots / requests).floor() + 0.5;
+        let coverage = (received - usage.used_once as f64) / received.max(1.0);
+        let sharers = (hosts * used / shards / coverage.max(1e-9)).clamp(1.0, hosts);
+        let max_slots = ((requests + 2.0 * requests.sqrt() + 2.0) * slots / requests).floor() + 0.5;
         let dispersion = 1.0 + (slots / sharers).min(1.0) * (volume_hosts - 1.0);
-        let free = (most / dispersion + (DEVIATIONS * DEVIATIONS + 2.0) / 12.0).sqrt() - DEVIATIONS / 2.0;
-        ((free * free * dispersion).min(slots) / sharers - slots / hosts).max(0.0)
+        let root_of_mean =
+            (max_slots / dispersion + (DEVIATIONS * DEVIATIONS + 2.0) / 12.0).sqrt() - DEVIATIONS / 2.0;
+        ((root_of_mean * root_of_mean * dispersion).min(slots) / sharers - slots / hosts).max(0.0)
     }
 
     /// When a request fits into `allowed` units of the sliding window, if not now.
--- a/crates/decisions/src/law.rs
+++ b/crates/decisions/src/law.rs
@@ -39,11 +39,13 @@
 pub(crate) const TIERS: [usize; 3] = [RESERVE, SHARE, SPARE];
 
 impl Node {
-    /// The law's L: smoothed mean of latency over latency target; 1 until the node answers.
-    pub(crate) fn load(&self, view: &FleetView) -> f64 {
-        let (prior, sum) = (view.prior_weight, self.latency.weight.value_at(view.now));
-        if sum + prior > 0.0 {
-            (self.latency.ratio.value_at(view.now) + prior * view.prior_load) / (sum + prior)
+    /// The law's L: smoothed mean of latency over latency target; 1 (in a large fleet, the mean over
+    /// all nodes) until the node answers.
+    pub(crate) fn latency_ratio(&self, view: &FleetView) -> f64 {
+        let (prior_weight, own_weight) = (view.prior_weight, self.latency.weight.value_at(view.now));
+        if own_weight + prior_weight > 0.0 {
+            (self.latency.ratio.value_at(view.now) + prior_weight * view.prior_load)
+                / (own_weight + prior_weight)
         } else {
             1.0
         }
@@ -51,9 +53,10 @@
 
     /// Smoothed mean latency, in microseconds.
     pub(crate) fn mean_latency(&self, view: &FleetView) -> f64 {
-        let (prior, sum) = (view.prior_weight, self.latency.weight.value_at(view.now));
-        if sum + prior > 0.0 {
-            (self.latency.latency.value_at(view.now) + prior * view.prior_latency) / (sum + prior)
+        let (prior_weight, own_weight) = (view.prior_weight, self.latency.weight.value_at(view.now));
+        if own_weight + prior_weight > 0.0 {
+            (self.latency.latency.value_at(view.now) + prior_weight * view.prior_latency)
+                / (own_weight + prior_weight)
         } else {
             0.0
         }
@@ -89,7 +92,7 @@
     /// beyond the reserve have a lower target. In a large fleet the count decays toward this host's part of a
     /// fresh bound.
     pub(crate) fn bound(&self, tier: usize, view: &FleetView) -> f64 {
-        let law = |n: f64| n / (1.0 + GAIN * (self.load(view) / view.load_targets[tier] - 1.0));
+        let law = |n: f64| n / (1.0 + GAIN * (self.latency_ratio(view) / view.load_targets[tier] - 1.0));
         if view.fresh_bound < 1.0 {
             let age = (-((view.now - self.last_answer) as f64) / SMOOTHING).exp();
             let count = self
@@ -129,8 +132,9 @@
     /// flight.
     pub(crate) fn has_spare_capacity(&self, view: &FleetView) -> bool {
         let is_known = view.prior_weight > 0.0 || view.now - self.last_answer < SMOOTHING as Micros;
-        let is_light =
-            self.failures == 0 && !self.is_silent(view.now) && self.load(view) < view.load_targets[SPARE];
+        let is_light = self.failures == 0
+            && !self.is_silent(view.now)
+            && self.latency_ratio(view) < view.load_targets[SPARE];
         if is_known { is_light } else { self.in_flight.is_empty() }
     }
 
@@ -166,9 +170,12 @@
     /// capacity beyond the reserves suffices for all volumes. Without it a few volumes in a surge fill the
     /// node and starve the rest.
     pub(crate) fn fair_share(&self, now: Micros) -> f64 {
-        let mut left = (SHARED_FRACTION * self.peak - self.reserved.value_at(now)).max(0.0);
-        let mut demands: Vec<(f64, f64)> =
-            self.demand.values().map(|(units, weight)| (units.value_at(now), *weight)).collect();
+        let mut left = (SHARED_FRACTION * self.peak - self.demand_within_reserve.value_at(now)).max(0.0);
+        let mut demands: Vec<(f64, f64)> = self
+            .demand_beyond_reserve
+            .values()
+            .map(|(units, weight)| (units.value_at(now), *weight))
+            .collect();
         demands.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
         let mut weights: f64 = demands.iter().map(|d| d.1).sum();
         for (units, weight) in demands {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -74,7 +74,7 @@
         let shard = self.state.shards.get(&node.shard);
         Some(NodeSnapshot {
             bound: node.bound(law::RESERVE, &view),
-            load: node.load(&view),
+            load: node.latency_ratio(&view),
             held: node.occupied() as usize,
             waiting: shard.map_or(0, |s| s.waiting + s.awaiting_token.len()),
             silent: node.is_silent(now),
@@ -95,7 +95,7 @@
 
     /// The shards whose requests waiting for a retry token changed since the last call, as they are now.
     pub fn take_token_shortages(&mut self) -> Vec<TokenShortage> {
-        let shards = std::mem::take(&mut self.state.changed_shortages);
+        let shards = std::mem::take(&mut self.state.changed_token_waiters);
         let shortage = |shard| {
             let waiting = self.state.shards.get(&shard).map_or(0, |s| s.awaiting_token.len() as u32);
             let first = self.state.first_awaiting_token(shard);
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -15,7 +15,7 @@
 const MAX_EXAMINED: usize = 24;
 /// Multiple of a volume's usual rate that counts as within its share, in a large fleet.
 const SHARE_OVERUSE: f64 = 2.0;
-/// The fraction of its latency target for which a request may wait before its queue counts as behind.
+/// The fraction of its latency target for which a request may wait before its queue counts as congested.
 const PROMPT_FRACTION: f64 = 0.25;
 /// Queued requests beyond the number of retry tokens, so that a request that its volume's limit holds back
 /// does not hold a token.
@@ -25,12 +25,12 @@
     /// The waiting requests in the order in which they are considered.
     ///
     /// Under a lasting overload the oldest request can only just be late, so that the latest due goes first.
-    /// In a queue that merely never empties, that order passes over the oldest requests until they are late,
+    /// In a queue that merely never empties, that order skips the oldest requests until they are late,
     /// on a node that could serve them at once. So the order is that of arrival while requests are sent well
     /// within their latency target. The cost: as an overload begins, up to `PROMPT_FRACTION` of the latency
     /// targets is spent.
     fn in_send_order(&self) -> impl Iterator<Item = RequestId> {
-        let order = if self.behind { &self.latest_due } else { &self.by_arrival };
+        let order = if self.congested { &self.latest_due } else { &self.by_arrival };
         order.iter().map(|(_, id)| *id)
     }
 }
@@ -38,14 +38,15 @@
 impl Shard {
     /// Whether a late retry, whose first latency target is over, may wait here.
     ///
-    /// Late work displaces requests that could be in time when two thousand clients return at once. It is
+    /// When two thousand clients retry at once, late work displaces requests that could be in time. It is
     /// refused while requests are not sent well within their latency target, and while the law admits nothing
-    /// beyond the shares. Once a queue is behind, it is the last in it. The cost: when as many come at once,
-    /// requests in time wait for up to `PROMPT_FRACTION` of their latency target.
+    /// beyond the shares. Once a queue is congested, its
+    /// order is latest due first and a late retry in it goes last. The cost: when thousands of late retries
+    /// come at once, requests in time wait for up to `PROMPT_FRACTION` of their latency target.
     fn admits_late(&self, rank: i32, nodes: &BTreeMap<NodeId, Node>, view: &FleetView) -> bool {
         let mut queues = self.queues.iter();
-        let behind = queues.any(|(r, queue)| queue.is_overdue(view.now) || *r == rank && queue.behind);
-        (!behind || self.waiting == 0) && self.nodes.iter().any(|id| nodes[id].has_spare_capacity(view))
+        let congested = queues.any(|(r, queue)| queue.is_overdue(view.now) || *r == rank && queue.congested);
+        (!congested || self.waiting == 0) && self.nodes.iter().any(|id| nodes[id].has_spare_capacity(view))
     }
 }
 
@@ -55,21 +56,23 @@
     fn assign_tier(&mut self, plan: &Plan, shard: &mut Shard, volume: Option<&mut Volume>, view: &FleetView) {
         let now = view.now;
         if self.tier == RESERVE {
-            shard.reserved.add(now, self.request.units);
+            shard.demand_within_reserve.add(now, self.request.units);
             return;
         }
         let weight = if plan.weight > 0.0 { plan.weight } else { 1.0 };
-        let (demand, weight) =
-            shard.demand.entry(self.request.volume).or_insert((DecayingSum::new(SMOOTHING), weight));
+        let (demand, weight) = shard
+            .demand_beyond_reserve
+            .entry(self.request.volume)
+            .or_insert((DecayingSum::new(SMOOTHING), weight));
         demand.add(now, self.request.units);
         let mut within = demand.value_at(now) / *weight <= shard.fair_share(now);
         // A host of a large fleet sees too little of a node to know its capacity. There units also count as
         // within the share while the volume stays near its usual rate, as metered or as seen here. The cost:
         // surges of many volumes at once pass for a while.
         if let (true, Some(volume)) = (view.fresh_bound < 1.0, volume) {
-            volume.share_phase = (volume.share_phase + GOLDEN) % 1.0;
+            volume.share_sequence = (volume.share_sequence + GOLDEN) % 1.0;
             let used = volume.metered_use.max(volume.demand.value_at(now) / plan.rate.max(1e-3));
-            within |= volume.share_phase * used < SHARE_OVERUSE;
+            within |= volume.share_sequence * used < SHARE_OVERUSE;
         }
         self.tier = if within { SHARE } else { SPARE };
     }
@@ -90,7 +93,8 @@
         let view = self.fleet_view();
         let utilization = |n: &Node| {
             let waiting = self.state.shards.get(&n.shard).map_or(0, |s| s.waiting);
-            (n.in_flight.len() + waiting + 1) as f64 / n.bound(RESERVE, &view) * n.load(&view).max(0.1)
+            (n.in_flight.len() + waiting + 1) as f64 / n.bound(RESERVE, &view)
+                * n.latency_ratio(&view).max(0.1)
         };
         let usable = |n: &&Node| {
             n.state == NodeState::On
@@ -103,8 +107,8 @@
         best.or(self.state.nodes.values().find(|n| n.state == NodeState::On)).map(|n| n.shard)
     }
 
-    /// Puts a request into a queue of its shard, or refuses it if it is late and the shard has no room for
-    /// it.
+    /// Puts a request into a queue of its shard, or refuses it if it is a late retry and the shard does not
+    /// admit it.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         let (now, view) = (self.state.now, self.fleet_view());
         let Some(open) = self.state.requests.get(&id) else { return };
@@ -124,23 +128,27 @@
             open.assign_tier(plan, shard, volume, &view);
         }
         let rank = rank(&self.settings, open);
-        if open.late_retry.is_some() && !shard.admits_late(rank, &self.state.nodes, &view) {
+        if open.is_late_retry() && !shard.admits_late(rank, &self.state.nodes, &view) {
             return self.finish_unserved(id, 0);
         }
         let negated_due = -open.first_due.min(open.due);
         self.insert_now(shard_id, QueueEntry { rank, negated_due, id, prompt_until: now });
     }
 
-    /// Removes a request from its queue because it is sent (`sent`) or ended.
+    /// Takes a request out of its queue, or from those that wait for a retry token; `sent`: because it is
+    /// sent. Otherwise it has ended or is moved between the two.
+    ///
+    /// A queue whose oldest request is overdue stays or becomes congested. Else a send clears the mark, and a
+    /// request that leaves unsent keeps it, or sets it if that request was overdue itself.
     pub(crate) fn dequeue(&mut self, id: RequestId, sent: bool) {
         let now = self.state.now;
         let Some(open) = self.state.requests.get_mut(&id) else { return };
-        let Some((shard_id, entry)) = open.queued.take() else { return };
+        let Some((shard_id, entry)) = open.waits_at.take() else { return };
         let Some(shard) = self.state.shards.get_mut(&shard_id) else { return };
         if shard.awaiting_token.remove(&entry.token_order()).is_some() {
-            self.state.changed_shortages.insert(shard_id);
+            self.state.changed_token_waiters.insert(shard_id);
         } else if let Some(queue) = shard.remove(entry, open.request.key) {
-            queue.behind = queue.is_overdue(now) || !sent && (queue.behind || entry.prompt_until < now);
+            queue.congested = queue.is_overdue(now) || !sent && (queue.congested || entry.prompt_until < now);
         }
         if !shard.awaiting_token.is_empty() {
             self.state.dirty_shards.insert(shard_id);
@@ -163,10 +171,11 @@
             }
             _ => usize::MAX,
         };
-        let queued = shard.needing_token.len();
-        if let Some(&entry) = shard.needing_token.last().filter(|_| queued > allowed) {
-            self.wait_for_token(shard_id, entry, tokens);
-        } else if let (true, Some(entry)) = (queued < allowed, self.state.first_awaiting_token(shard_id)) {
+        let candidates = shard.needing_token.len();
+        if let Some(&entry) = shard.needing_token.last().filter(|_| candidates > allowed) {
+            self.refuse_or_await_token(shard_id, entry, tokens);
+        } else if let (true, Some(entry)) = (candidates < allowed, self.state.first_awaiting_token(shard_id))
+        {
             self.dequeue(entry.id, false);
             self.insert_now(shard_id, entry);
         } else if let Some(id) = self.state.excess_awaiting_token(shard_id) {
@@ -180,20 +189,20 @@
     /// Moves a request out of its queue until there is a retry token. It is refused instead if no token would
     /// help it, or if its class keeps the order of keys, as the requests behind it would have to wait with
     /// it.
-    fn wait_for_token(&mut self, shard_id: ShardId, entry: QueueEntry, tokens: RetryTokens) {
+    fn refuse_or_await_token(&mut self, shard_id: ShardId, entry: QueueEntry, tokens: RetryTokens) {
         let (Some(open), Some(shard)) =
             (self.state.requests.get(&entry.id), self.state.shards.get(&shard_id))
         else {
             return;
         };
         let never =
-            |n: &NodeId| matches!(self.verdict_with_token(entry.id, &self.state.nodes[n]), Verdict::Never);
+            |n: &NodeId| matches!(self.verdict_given_token(entry.id, &self.state.nodes[n]), Verdict::Never);
         let in_order = self.settings.classes[open.request.class].in_order;
         if in_order || !shard.nodes.is_empty() && shard.nodes.iter().all(never) {
             return self.finish_unserved(entry.id, tokens.retry_after);
         }
         self.dequeue(entry.id, false);
-        self.state.await_token(shard_id, entry);
+        self.state.insert_awaiting_token(shard_id, entry);
     }
 
     /// Inserts a request into a queue, with its waiting time counted from now.
@@ -235,7 +244,7 @@
     fn mark_overdue_queues(&mut self, shard_id: ShardId) {
         let now = self.state.now;
         if let Some(shard) = self.state.shards.get_mut(&shard_id) {
-            shard.queues.values_mut().for_each(|queue| queue.behind |= queue.is_overdue(now));
+            shard.queues.values_mut().for_each(|queue| queue.congested |= queue.is_overdue(now));
         }
     }
 
--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -22,7 +22,7 @@
     pub(crate) sent: Micros,
     /// When the node's process started, as known when the attempt was sent.
     pub(crate) node_started: Option<Micros>,
-    /// Its units are charged to its volume's limit, or held back from it while it awaits a connection.
+    /// Its units are charged to its volume's limit, or kept free there while it awaits a connection.
     pub(crate) charged: bool,
     pub(crate) awaiting_connection: bool,
     pub(crate) state: AttemptState,
@@ -54,11 +54,11 @@
     pub(crate) request: Request,
     /// End of the latency target, counted from the client's first try.
     pub(crate) first_due: Micros,
-    /// The same, or the end of its own latency target if `first_due` was past when it came; never after the
-    /// deadline.
+    /// `first_due`, or the end of its own latency target if `first_due` was past when it came; never after
+    /// the deadline.
     pub(crate) due: Micros,
-    /// Set for a retry that came after `first_due`: when the try before it ended.
-    pub(crate) late_retry: Option<Micros>,
+    /// For a late retry (one that came after `first_due`): when the last try that was not late ended.
+    pub(crate) last_timely_try_ended: Option<Micros>,
     /// If nothing of it has been sent by this time, it is refused.
     pub(crate) send_by: Micros,
     pub(crate) deadline: Micros,
@@ -66,7 +66,7 @@
     pub(crate) tier: usize,
     pub(crate) attempts: Vec<Attempt>,
     /// Where it waits: in a queue of the shard, or for one of the shard's retry tokens.
-    pub(crate) queued: Option<(ShardId, QueueEntry)>,
+    pub(crate) waits_at: Option<(ShardId, QueueEntry)>,
     pub(crate) finished: bool,
     /// Its answer has begun to arrive.
     pub(crate) streaming: bool,
@@ -77,6 +77,7 @@
 pub(crate) struct Unserved {
     /// End of the latency target of the client's first try.
     pub(crate) due: Micros,
+    /// When that request ended or, if it was a late retry, its `last_timely_try_ended`.
     pub(crate) ended: Micros,
 }
 
@@ -100,12 +101,12 @@
             request,
             first_due,
             due,
-            late_retry: None,
+            last_timely_try_ended: None,
             send_by: due,
             deadline,
             tier,
             attempts: Vec::new(),
-            queued: None,
+            waits_at: None,
             finished: false,
             streaming: false,
         }
@@ -120,6 +121,10 @@
     pub(crate) fn wake_times(&self) -> [Micros; 3] {
         [self.send_by, self.due, self.deadline]
     }
+    /// It is a retry that came after `first_due`.
+    pub(crate) fn is_late_retry(&self) -> bool {
+        self.last_timely_try_ended.is_some()
+    }
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -144,7 +144,7 @@
         }
         // Only shards with waiting requests have anything to send, so that the cost of a change grows with
         // the change and the open requests, not with the list.
-        self.state.dirty_shards.extend(self.state.requests.values().filter_map(|o| Some(o.queued?.0)));
+        self.state.dirty_shards.extend(self.state.requests.values().filter_map(|o| Some(o.waits_at?.0)));
     }
 
     fn on_request(&mut self, request: Request) {
@@ -202,8 +202,8 @@
             },
             last_request: now,
             metered_use: 0.0,
-            held_back: 0.0,
-            share_phase: 0.0,
+            awaiting_units: 0.0,
+            share_sequence: 0.0,
             demand: DecayingSum::new(SMOOTHING),
         });
         volume.last_request = now;
@@ -215,11 +215,10 @@
         let now = self.state.now;
         let latency_target = self.settings.classes[request.class].latency_target;
         let (own_due, deadline) = (now + latency_target, now + request.timeout);
-        // Impatient clients retry a request many times. All tries share one worth, and the latency target
-        // runs from the first try: a retry is due when the try before it was, so that it counts as late in
-        // time. Requests that are not marked as retries are recognised too. The cost: if clients do not mark
-        // retries, a request of the same fingerprint just after one that was not served is taken for its
-        // retry.
+        // Clients may retry a request many times. All tries share one worth, and the latency target runs from
+        // the first try: a retry is due when the first try was, and counts as late from then on. Requests
+        // that are not marked as retries are recognised too. The cost: if clients do not mark retries, a
+        // request of the same fingerprint just after one that was not served is taken for its retry.
         let window = if request.is_retry { SWEEP_INTERVAL } else { UNMARKED_RETRY_WINDOW };
         let unserved = self.state.recent_unserved.remove(&fingerprint(&request));
         let before = unserved.filter(|u| now - u.ended < window);
@@ -235,7 +234,7 @@
         // to be sent is lost.
         let send_by = due.min(now + request.timeout * 7 / 16);
         let mut open = OpenRequest::new(request, RESERVE, first_due, due, deadline);
-        open.late_retry = late.map(|u| u.ended);
+        open.last_timely_try_ended = late.map(|u| u.ended);
         open.send_by = send_by;
         open
     }
@@ -246,7 +245,7 @@
         let plan = &self.settings.plans[open.request.plan];
         let Some(volume) = self.state.volumes.get_mut(&open.request.volume) else { return };
         // Late retries leave half of the reserve to requests in time.
-        let kept = if open.late_retry.is_some() { volume.reserve.capacity / 2.0 } else { 0.0 };
+        let kept = if open.is_late_retry() { volume.reserve.capacity / 2.0 } else { 0.0 };
         if plan.reserve > 0.0 && volume.reserve.level_at(now) >= open.request.units + kept {
             volume.reserve.add(now, -open.request.units);
         } else {
--- a/crates/decisions/src/shards.rs
+++ b/crates/decisions/src/shards.rs
@@ -13,7 +13,7 @@
     /// Its due time, negated, so that the latest due sorts first.
     pub(crate) negated_due: Micros,
     pub(crate) id: RequestId,
-    /// If it still waits after this time, its queue counts as behind.
+    /// If it still waits after this time, its queue counts as congested.
     pub(crate) prompt_until: Micros,
 }
 
@@ -27,10 +27,13 @@
 /// The waiting requests of one rank, in both orders.
 #[derive(Default)]
 pub(crate) struct Queue {
+    /// By `negated_due`.
     pub(crate) latest_due: BTreeSet<(Micros, RequestId)>,
+    /// By `prompt_until`.
     pub(crate) by_arrival: BTreeSet<(Micros, RequestId)>,
-    /// Requests of this queue were not sent well within their latency target.
-    pub(crate) behind: bool,
+    /// Its requests wait too long to be sent well within their latency target, so that the order of sends is
+    /// `latest_due`.
+    pub(crate) congested: bool,
 }
 
 impl Queue {
@@ -43,7 +46,7 @@
 pub(crate) struct Shard {
     /// Nodes that are on and hold the shard, in order of id.
     pub(crate) nodes: Vec<NodeId>,
-    /// Requests received that named this shard.
+    /// Requests received that named this shard; a retry counts only if it is the first of them.
     pub(crate) requests: u64,
     /// Waiting requests by rank.
     pub(crate) queues: BTreeMap<i32, Queue>,
@@ -58,9 +61,9 @@
     /// Key of the request sent last.
     pub(crate) last_key: Option<KeyId>,
     /// Recent demand beyond the reserve in units, and the weight of the plan, by volume.
-    pub(crate) demand: BTreeMap<VolumeId, (DecayingSum, f64)>,
+    pub(crate) demand_beyond_reserve: BTreeMap<VolumeId, (DecayingSum, f64)>,
     /// Recent demand within the reserves, in units.
-    pub(crate) reserved: DecayingSum,
+    pub(crate) demand_within_reserve: DecayingSum,
     /// Units served recently.
     pub(crate) served: DecayingSum,
     /// Highest value of `served`, decaying slowly: an estimate of what the shard can do for this host.
@@ -71,6 +74,7 @@
 }
 
 impl Shard {
+    /// A shard without requests; recent demand and service decay with `time_constant`, in microseconds.
     pub(crate) fn new(time_constant: f64) -> Self {
         Shard {
             nodes: Vec::new(),
@@ -81,8 +85,8 @@
             needing_token: BTreeSet::new(),
             awaiting_token: BTreeMap::new(),
             last_key: None,
-            demand: BTreeMap::new(),
-            reserved: DecayingSum::new(time_constant),
+            demand_beyond_reserve: BTreeMap::new(),
+            demand_within_reserve: DecayingSum::new(time_constant),
             served: DecayingSum::new(time_constant),
             peak: 0.0,
             peak_updated_at: 0,
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -84,7 +84,7 @@
     /// Shards whose queues are to be examined before the current event is done.
     pub(crate) dirty_shards: BTreeSet<ShardId>,
     /// Shards whose set of requests waiting for a retry token changed since it was last reported.
-    pub(crate) changed_shortages: BTreeSet<ShardId>,
+    pub(crate) changed_token_waiters: BTreeSet<ShardId>,
     /// Actions of the current event.
     pub(crate) actions: Vec<Action>,
     /// Shards examined since the start.
@@ -96,7 +96,7 @@
 impl State {
     /// The tokens of the shard at which a request waits for one; `None` if it waits for none.
     pub(crate) fn awaited_tokens(&self, open: &OpenRequest) -> Option<RetryTokens> {
-        let (shard_id, entry) = open.queued?;
+        let (shard_id, entry) = open.waits_at?;
         let awaits = self.shards.get(&shard_id)?.awaiting_token.contains_key(&entry.token_order());
         self.retry_tokens.get(&shard_id).copied().filter(|_| awaits)
     }
@@ -106,18 +106,18 @@
         else {
             return;
         };
-        open.queued = Some((shard_id, entry));
+        open.waits_at = Some((shard_id, entry));
         shard.insert(entry, open.request.key, open.needs_retry_token());
     }
-    /// Lets a request that is in no queue wait for a retry token.
-    pub(crate) fn await_token(&mut self, shard_id: ShardId, entry: QueueEntry) {
+    /// Adds a request that is in no queue to those that wait for a retry token of the shard.
+    pub(crate) fn insert_awaiting_token(&mut self, shard_id: ShardId, entry: QueueEntry) {
         let (Some(open), Some(shard)) = (self.requests.get_mut(&entry.id), self.shards.get_mut(&shard_id))
         else {
             return;
         };
-        open.queued = Some((shard_id, entry));
+        open.waits_at = Some((shard_id, entry));
         shard.awaiting_token.insert(entry.token_order(), entry);
-        self.changed_shortages.insert(shard_id);
+        self.changed_token_waiters.insert(shard_id);
     }
     /// The request that gets the shard's next retry token.
     pub(crate) fn first_awaiting_token(&self, shard_id: ShardId) -> Option<QueueEntry> {
@@ -132,8 +132,8 @@
     /// Records that an attempt awaits its connection, or begins after that wait.
     ///
     /// If it were charged to its volume's limit when it is sent, it would reach the node later, when the
-    /// limit has refilled, together with others. Its units are held back and charged when it begins. This
-    /// costs nothing.
+    /// limit has refilled, together with others. Its units are kept free in the limit
+    /// (`Volume::awaiting_units`) and charged when it begins. This costs nothing.
     pub(crate) fn set_awaiting_connection(&mut self, id: RequestId, attempt: u32, awaiting: bool) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let volume = self.volumes.get_mut(&open.request.volume);
@@ -142,6 +142,7 @@
         }
     }
     /// Applies an entry of the node list. Its shard lists the node, in order of id, if the node is on.
+    /// `time_constant` is that of a new shard (`Shard::new`).
     pub(crate) fn apply_entry(&mut self, entry: &NodeEntry, time_constant: f64) {
         self.entries_applied += 1;
         let Some(node) = self.nodes.get_mut(&entry.node) else { return };
--- a/crates/decisions/src/sweep.rs
+++ b/crates/decisions/src/sweep.rs
@@ -18,16 +18,16 @@
         self.state.key_orders.retain(|_, order| !order.requests.is_empty() || now < order.paused_until);
         let window = self.settings.cold_window;
         self.state.nodes.values_mut().for_each(|n| n.recent_sends.retain(|s| s.0 > now - window));
-        let counted = now - self.settings.retry_budget.map_or(0, |b| b.window);
-        self.state.request_times.retain(|&t| t >= counted);
-        self.state.retry_times.retain(|&t| t >= counted);
+        let window_start = now - self.settings.retry_budget.map_or(0, |b| b.window);
+        self.state.request_times.retain(|&t| t >= window_start);
+        self.state.retry_times.retain(|&t| t >= window_start);
         self.state.nodes.retain(|_, n| {
             n.state != NodeState::Gone
                 || !n.in_flight.is_empty()
                 || now - n.last_send <= window.max(SWEEP_INTERVAL)
         });
         for shard in self.state.shards.values_mut() {
-            shard.demand.retain(|_, (units, _)| units.value_at(now) > 0.01);
+            shard.demand_beyond_reserve.retain(|_, (units, _)| units.value_at(now) > 0.01);
         }
     }
 
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -14,7 +14,7 @@
     Send,
     /// Not now; at the given time, or with the next event at the shard.
     Wait(Option<Micros>),
-    /// At no later time either: the request is to be answered.
+    /// It can never be sent to this node: it is to be refused or failed.
     Never,
 }
 
@@ -68,8 +68,9 @@
             && others.map(|(_, a)| a).all(|a| class.may_repeat(a, node, now))
     }
 
-    /// Whether a request may be sent to a node now. Every rule that a send can break is checked here and
-    /// nowhere else, for first attempts, retries and hedges alike.
+    /// Whether a request may be sent to a node that is ready (`Node::check_ready`). All other rules on sends
+    /// are checked here, for first attempts, retries and hedges alike; `attempt_is_valid` checks some of them
+    /// again when a delayed attempt begins.
     ///
     /// Each gateway keeps its own retry budget, and the sum over them, with clients that retry at the next
     /// gateway, overloads a shard that recovers. The retries that the shard can take are allotted from
@@ -79,11 +80,11 @@
         if needs_token && self.state.retry_tokens.get(&node.shard).is_some_and(|tokens| tokens.left == 0) {
             return Verdict::Wait(None);
         }
-        self.verdict_with_token(id, node)
+        self.verdict_given_token(id, node)
     }
 
-    /// The same, if the shard had a retry token for the request.
-    pub(crate) fn verdict_with_token(&self, id: RequestId, node: &Node) -> Verdict {
+    /// `verdict` without the check for a retry token.
+    pub(crate) fn verdict_given_token(&self, id: RequestId, node: &Node) -> Verdict {
         let now = self.state.now;
         let Some(open) = self.state.requests.get(&id) else { return Verdict::Never };
         let class = &self.settings.classes[open.request.class];
@@ -130,11 +131,13 @@
     fn check_volume_limit(&self, open: &OpenRequest) -> Result<(), Verdict> {
         let now = self.state.now;
         let volume = self.state.volumes.get(&open.request.volume).filter(|_| open.is_uncharged());
-        if let Some((bucket, held_back)) = volume.and_then(|v| v.limit.map(|bucket| (bucket, v.held_back))) {
+        if let Some((bucket, awaiting_units)) =
+            volume.and_then(|v| v.limit.map(|bucket| (bucket, v.awaiting_units)))
+        {
             // An even part of the shared limit: the sum of the parts never exceeds the whole.
             let plan = &self.settings.plans[open.request.plan];
             let slack = plan.limit_slack / f64::from(open.request.hosts.max(1));
-            let missing = open.request.units - slack - bucket.level_at(now) + held_back;
+            let missing = open.request.units - slack - bucket.level_at(now) + awaiting_units;
             if open.request.units > slack + bucket.capacity {
                 return Err(Verdict::Never);
             }
--- a/crates/decisions/src/volumes.rs
+++ b/crates/decisions/src/volumes.rs
@@ -12,16 +12,16 @@
     /// Use over all hosts as last metered, as a fraction of the plan's rate.
     pub(crate) metered_use: f64,
     /// Position in a low-discrepancy sequence that admits a fraction of the units to the share tier.
-    pub(crate) share_phase: f64,
+    pub(crate) share_sequence: f64,
     /// Units recently requested through this host.
     pub(crate) demand: DecayingSum,
     pub(crate) last_request: Micros,
-    /// Units of attempts that await their connection.
-    pub(crate) held_back: f64,
+    /// Units of attempts that await their connection: the limit keeps them free until those attempts begin.
+    pub(crate) awaiting_units: f64,
 }
 
 impl Volume {
-    /// Records that an attempt awaits its connection, or begins after that wait. Its units are held back
+    /// Records that an attempt awaits its connection, or begins after that wait. Its units are kept free
     /// while it waits and charged to the limit from when it begins.
     pub(crate) fn set_awaiting_connection(
         &mut self,
@@ -34,17 +34,17 @@
             return;
         }
         attempt.awaiting_connection = awaiting;
-        let held_back = if awaiting { units } else { -units };
-        self.held_back = (self.held_back + held_back).max(0.0);
+        let change = if awaiting { units } else { -units };
+        self.awaiting_units = (self.awaiting_units + change).max(0.0);
         if let Some(limit) = &mut self.limit {
-            limit.add(now, held_back);
+            limit.add(now, change);
         }
     }
 
     /// Releases the units of an attempt that ended without having begun; the next attempt is charged.
     pub(crate) fn release_unsent(&mut self, attempt: &mut Attempt, units: f64) {
         if attempt.charged && attempt.awaiting_connection {
-            self.held_back = (self.held_back - units).max(0.0);
+            self.awaiting_units = (self.awaiting_units - units).max(0.0);
         }
         attempt.charged &= !attempt.awaiting_connection && attempt.state != AttemptState::NotSent;
     }
--- a/crates/decisions/tests/allowance.rs
+++ b/crates/decisions/tests/allowance.rs
@@ -30,11 +30,11 @@
     for attempt in 0..3 {
         assert_eq!(Host::count_sends(&host.answer(1, attempt, Outcome::Error)), 1);
     }
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
-fn without_tokens_a_retry_is_refused_at_once_with_the_advice() {
+fn without_tokens_a_request_is_refused_after_its_first_attempt_fails() {
     let mut host = host();
     host.set_retry_tokens(0, 0, ADVICE);
     assert_eq!(Host::count_sends(&host.submit(request(1))), 1, "a first attempt uses no token");
@@ -44,7 +44,7 @@
     );
     assert_eq!(Host::count_sends(&host.submit(request(2))), 1);
     assert_eq!(Host::count_sends(&host.answer(2, 0, Outcome::Served)), 0);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -52,10 +52,14 @@
     let mut host = host();
     host.set_retry_tokens(0, 0, 5 * SECOND);
     host.submit(retry(1));
-    assert_eq!(host.refused(1), Some(SECOND));
+    assert_eq!(host.refusal_advice(1), Some(SECOND));
     host.set_retry_tokens(0, 0, -1);
     host.submit(retry(2));
-    assert_eq!(host.refused(2), Some(50_000), "a quarter of the latency target, as without any advice");
+    assert_eq!(
+        host.refusal_advice(2),
+        Some(50_000),
+        "a quarter of the latency target, as without any advice"
+    );
 }
 
 #[test]
@@ -67,8 +71,8 @@
     assert!(host.failed(1));
     host.submit(request(2));
     host.answer(2, 0, Outcome::Full);
-    assert_eq!(host.refused(2), Some(ADVICE));
-    host.checker.assert_clean();
+    assert_eq!(host.refusal_advice(2), Some(ADVICE));
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -82,11 +86,11 @@
     assert_eq!(Host::count_sends(&host.answer(2, 0, Outcome::Error)), 1);
     for id in [3, 4] {
         assert_eq!(Host::count_sends(&host.answer(id, 0, Outcome::Error)), 0);
-        assert_eq!(host.refused(id), Some(ADVICE));
+        assert_eq!(host.refusal_advice(id), Some(ADVICE));
     }
-    assert_eq!((host.refused(1), host.refused(2)), (None, None));
+    assert_eq!((host.refusal_advice(1), host.refusal_advice(2)), (None, None));
     assert_eq!(host.sent(), [1, 2, 3, 4, 1, 2]);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -101,8 +105,8 @@
     host.set_retry_tokens(0, 1, ADVICE);
     assert_eq!(Host::count_sends(&host.submit(retry(4))), 1);
     assert_eq!(Host::count_sends(&host.submit(retry(5))), 0);
-    assert_eq!(host.refused(5), Some(ADVICE));
-    host.checker.assert_clean();
+    assert_eq!(host.refusal_advice(5), Some(ADVICE));
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -116,8 +120,8 @@
     host.set_retry_tokens(0, 7, ADVICE);
     assert_eq!(Host::count_sends(&host.submit(at_shard_1(2))), 1);
     host.submit(at_shard_1(3));
-    assert_eq!(host.refused(3), Some(ADVICE));
-    host.checker.assert_clean();
+    assert_eq!(host.refusal_advice(3), Some(ADVICE));
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -136,7 +140,7 @@
     let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { retry_after: ADVICE, .. })).count();
     assert_eq!(answers, 2, "{actions:?}");
     assert_eq!(host.sent(), [1, 2, 3, 4, 5, 8], "the request that needs no token has kept waiting");
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -152,10 +156,10 @@
         host.set_retry_tokens(0, 0, ADVICE),
         [Action::Refuse { request: RequestId(5), retry_after: ADVICE }]
     );
-    assert_eq!(host.refused(6), None);
+    assert_eq!(host.refusal_advice(6), None);
     host.answer(1, 0, Outcome::Served);
     assert_eq!(host.sent(), [1, 2, 3, 4, 6]);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -168,14 +172,16 @@
     }
     assert_eq!(host.sent(), [1]);
     host.answer(1, 0, Outcome::Error);
-    assert_eq!((host.refused(1), host.sent()), (Some(ADVICE), vec![1, 2]));
+    assert_eq!((host.refusal_advice(1), host.sent()), (Some(ADVICE), vec![1, 2]));
     host.answer(2, 0, Outcome::Served);
-    assert_eq!((host.refused(3), host.sent()), (Some(ADVICE), vec![1, 2, 4]));
-    host.checker.assert_clean();
+    assert_eq!((host.refusal_advice(3), host.sent()), (Some(ADVICE), vec![1, 2, 4]));
+    host.checker.assert_no_breach();
 }
 
+/// Each refusal starts the next request of the key. Guards against a stack overflow by recursion, and against
+/// requests left without an answer, when thousands of refusals follow one another.
 #[test]
-fn many_retries_of_one_key_are_refused_in_one_step() {
+fn many_retries_of_one_key_are_all_refused_within_one_event() {
     const RETRIES: u64 = 3000;
     let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) });
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
--- a/crates/decisions/tests/awaiting.rs
+++ b/crates/decisions/tests/awaiting.rs
@@ -48,7 +48,7 @@
     assert_eq!(waiting(&mut host), [(ShardId(0), 1)]);
     assert_eq!(Host::count_sends(&host.set_retry_tokens(0, 1, ADVICE)), 1);
     assert_eq!((host.sent(), waiting(&mut host)), (vec![1, 2, 3], vec![(ShardId(0), 0)]));
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -56,10 +56,10 @@
     let mut host = host_with_limit(4);
     assert_eq!(Host::count_sends(&host.submit(request(1))), 1);
     assert_eq!(Host::count_sends(&host.answer(1, 0, Outcome::Error)), 0);
-    assert_eq!((host.refused(1), waiting(&mut host)), (None, vec![(ShardId(0), 1)]));
+    assert_eq!((host.refusal_advice(1), waiting(&mut host)), (None, vec![(ShardId(0), 1)]));
     assert_eq!(Host::count_sends(&host.set_retry_tokens(0, 1, ADVICE)), 1);
     host.answer(1, 1, Outcome::Served);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -68,8 +68,8 @@
     for id in 1..=2000 {
         host.submit(retry(id));
     }
-    let refused = (1..=2000).filter(|&id| host.refused(id) == Some(ADVICE)).count();
-    assert_eq!((refused, host.refused(1), host.refused(2)), (1998, None, None));
+    let refused = (1..=2000).filter(|&id| host.refusal_advice(id) == Some(ADVICE)).count();
+    assert_eq!((refused, host.refusal_advice(1), host.refusal_advice(2)), (1998, None, None));
     assert_eq!(waiting(&mut host), [(ShardId(0), 2)]);
     assert!(host.sent().is_empty());
 }
@@ -91,7 +91,7 @@
         let mut host = host_with_limit(200);
         let same_key = |r: Request| Request { key: Some(KeyId(7)), ..r };
         (1..=retries).for_each(|id| _ = host.submit(same_key(retry(id))));
-        // Longer than a request may wait before its queue counts as behind.
+        // Longer than a request may wait before its queue counts as congested.
         host.advance(150_000);
         (1001..=1008).for_each(|id| _ = host.submit(same_key(request(id))));
         host.advance(1000);
@@ -108,14 +108,14 @@
     let mut host = host_with_limit(4);
     host.submit(retry(1));
     host.advance(199_000);
-    assert_eq!(host.refused(1), None);
+    assert_eq!(host.refusal_advice(1), None);
     host.advance(2000);
-    assert_eq!(host.refused(1), Some(ADVICE), "its latency target is over");
+    assert_eq!(host.refusal_advice(1), Some(ADVICE), "its latency target is over");
     assert_eq!(waiting(&mut host), [(ShardId(0), 0)]);
     host.submit(Request { timeout: 80_000, ..retry(2) });
     host.advance(36_000);
-    assert_eq!(host.refused(2), Some(ADVICE), "nearly half of its client's time is over");
-    host.checker.assert_clean();
+    assert_eq!(host.refusal_advice(2), Some(ADVICE), "nearly half of its client's time is over");
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let mut host = host_of(Class { in_order: true, ..class(Idempotency::Safe) }, 4);
     let same_key = |r: Request| Request { key: Some(KeyId(5)), ..r };
     host.submit(same_key(retry(1)));
-    assert_eq!(host.refused(1), Some(ADVICE));
+    assert_eq!(host.refusal_advice(1), Some(ADVICE));
     host.submit(same_key(request(2)));
     assert_eq!(host.sent(), [2]);
 }
@@ -151,7 +151,7 @@
     host.submit(retry(2));
     host.submit(Request { class: 1, ..retry(3) });
     host.submit(Request { class: 1, ..retry(4) });
-    assert_eq!(host.refused(2), Some(ADVICE), "it was last in order");
+    assert_eq!(host.refusal_advice(2), Some(ADVICE), "it was last in order");
     let shortage = host.scheduler.take_token_shortages();
     assert_eq!(shortage, [TokenShortage { shard: ShardId(0), waiting: 3, worth: 8.0 }]);
     host.set_retry_tokens(0, 2, ADVICE);
@@ -166,5 +166,5 @@
     assert_eq!(host.sent().len(), 4, "the initial bound is four");
     host.answer(1, 0, Outcome::Served);
     assert!(host.sent().len() > 4);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
--- a/crates/decisions/tests/awaiting_ends.rs
+++ b/crates/decisions/tests/awaiting_ends.rs
@@ -33,7 +33,11 @@
     host.handle(Event::Withdrawn(RequestId(11)));
     (1..=4).for_each(|id| _ = host.answer(id, 0, Outcome::Served));
     host.advance(300_000);
-    assert_eq!((host.sent().contains(&12), host.refused(12)), (true, None), "one token is left and it waits");
+    assert_eq!(
+        (host.sent().contains(&12), host.refusal_advice(12)),
+        (true, None),
+        "request 12 waits and one token is left"
+    );
 }
 
 /// Guards against a token that is blocked by a request which its volume's limit holds back.
@@ -49,7 +53,7 @@
     host.set_retry_tokens(0, 1, ADVICE);
     host.advance(300_000);
     assert_eq!(
-        (host.sent(), host.refused(2)),
+        (host.sent(), host.refusal_advice(2)),
         (vec![2], None),
         "the first waits for its volume's limit, and the token is there"
     );
@@ -75,5 +79,5 @@
     host.handle(Event::AnswerStarted { request: RequestId(1), attempt: 0, node: NodeId(0), latency: 1000 });
     host.answer(1, 0, Outcome::Reset);
     host.advance(20 * SECOND);
-    assert!(host.refused(1).is_some() || host.failed(1), "it has no answer after twenty seconds");
+    assert!(host.refusal_advice(1).is_some() || host.failed(1), "it has no answer after twenty seconds");
 }
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    pub fn assert_clean(&self) {
+    pub fn assert_no_breach(&self) {
         assert!(self.breaches.is_empty(), "{:#?}", self.breaches);
     }
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -200,7 +200,7 @@
     }
 
     /// The advice of the refusal of a request, if it was refused.
-    pub fn refused(&self, id: u64) -> Option<Micros> {
+    pub fn refusal_advice(&self, id: u64) -> Option<Micros> {
         self.log.iter().find_map(|(_, a)| match a {
             Action::Refuse { request, retry_after } if request.0 == id => Some(*retry_after),
             _ => None,
--- a/crates/decisions/tests/crowd.rs
+++ b/crates/decisions/tests/crowd.rs
@@ -1,5 +1,6 @@
 //! A hundred hosts and more at one node: each has a bound below one attempt, and the rules hold for their
 //! sum.
+//! One test sets invalid numbers (of hosts, units and metered use) instead.
 
 mod common;
 use common::*;
@@ -19,7 +20,7 @@
     }
     host.submit(request(2));
     host.advance(50_000);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
     host.sent().len()
 }
 
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn extreme_numbers_stop_nothing() {
+fn invalid_numbers_neither_panic_nor_block_sends() {
     let mut host_settings = settings();
     (
         host_settings.hosts,
@@ -198,7 +199,7 @@
         host.advance(3 * SECOND);
     }
     assert!(!host.sent().is_empty());
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -213,7 +214,7 @@
             host.submit(r);
             host.advance(10_000);
         }
-        host.checker.assert_clean();
+        host.checker.assert_no_breach();
         host.sent().len()
     };
     let (few, many) = (trials(3), trials(150));
--- a/crates/decisions/tests/order.rs
+++ b/crates/decisions/tests/order.rs
@@ -14,7 +14,7 @@
     open: Vec<(u64, Micros)>,
     waits: Vec<Micros>,
     unserved: usize,
-    /// How many of eight requests are for the same block.
+    /// How many of eight requests are for the same key.
     hot: u64,
     /// Number of the host's actions that have been processed.
     processed: usize,
@@ -82,7 +82,7 @@
     assert!(served > 30_000, "{served} served");
     assert_eq!(load.unserved, 0, "of {served} were refused");
     assert!(load.waits[served * 999 / 1000] < 20_000, "p99.9 is {} us", load.waits[served * 999 / 1000]);
-    load.host.checker.assert_clean();
+    load.host.checker.assert_no_breach();
 }
 
 /// Guards against old requests that wait until they are refused although the node could serve all at once.
@@ -91,8 +91,8 @@
     check_all_are_served(0);
 }
 
-/// Guards against a block read by many clients that delays all other requests, as requests for the same block
-/// go first.
+/// Guards against a key read by many clients that delays all other requests, as requests for the same key go
+/// first.
 #[test]
 fn a_block_that_many_read_leaves_nobody_behind() {
     check_all_are_served(6);
@@ -128,5 +128,5 @@
     }
     let could = (SECONDS * SECOND / SERVICE) as u64;
     assert!(in_time * 10 > could * 9, "{in_time} in time of {could} that the node could serve");
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
--- a/crates/decisions/tests/repeats.rs
+++ b/crates/decisions/tests/repeats.rs
@@ -39,7 +39,7 @@
         host.submit(retry(id));
         serve_all(&mut host);
     }
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
     host.sent().len() - 1
 }
 
@@ -67,13 +67,13 @@
 #[test]
 fn a_refused_retry_does_not_renew_the_record_of_the_first_try() {
     let mut host = overloaded_node();
-    assert!(host.refused(104).is_some(), "it waited until its latency target was over");
+    assert!(host.refusal_advice(104).is_some(), "it waited until its latency target was over");
     let again = |id: u64| Request { key: request(104).key, is_retry: true, ..request(id) };
     let refused_at_once: Vec<bool> = (1000..1024)
         .map(|id| {
             host.advance(250_000);
             host.submit(again(id));
-            host.refused(id).is_some()
+            host.refusal_advice(id).is_some()
         })
         .collect();
     assert!(refused_at_once[..16].iter().all(|at_once| *at_once), "the node is overloaded");
@@ -83,28 +83,28 @@
     );
 }
 
-/// Guards against the refusal of one client's request making other clients' requests for the same block late.
+/// Guards against the refusal of one client's request making other clients' requests for the same key late.
 #[test]
-fn the_same_request_of_another_client_is_no_retry() {
+fn the_same_request_of_another_client_does_not_take_over_its_due_time() {
     for marked in [false, true] {
         let mut host = overloaded_node();
-        assert!(host.refused(104).is_some());
+        assert!(host.refusal_advice(104).is_some());
         host.advance(10_000);
-        let of = |id: u64, client: u64| Request {
+        let request_of_client = |id: u64, client: u64| Request {
             key: request(104).key,
             client: Some(ClientId(client)),
             is_retry: marked,
             ..request(id)
         };
         // The refused request has no client id. Client 1 is refused as well, and then client 2 comes.
-        host.submit(of(200, 1));
+        host.submit(request_of_client(200, 1));
         host.advance(210_000);
-        assert!(host.refused(200).is_some());
+        assert!(host.refusal_advice(200).is_some());
         host.advance(10_000);
-        host.submit(of(201, 2));
-        assert!(host.refused(201).is_none(), "another client's, marked {marked}");
-        host.submit(of(202, 1));
-        assert!(host.refused(202).is_some(), "the same client's, marked {marked}");
+        host.submit(request_of_client(201, 2));
+        assert!(host.refusal_advice(201).is_none(), "another client's, marked {marked}");
+        host.submit(request_of_client(202, 1));
+        assert!(host.refusal_advice(202).is_some(), "the same client's, marked {marked}");
     }
 }
 
@@ -183,8 +183,8 @@
     }
     let served = node.host.sent().iter().filter(|id| tries.contains_key(*id)).count();
     assert!(served as u64 > CLIENTS / 4, "{served} of {CLIENTS} late retries were sent");
-    let refused = in_time.iter().filter(|id| node.host.refused(**id).is_some()).count();
+    let refused = in_time.iter().filter(|id| node.host.refusal_advice(**id).is_some()).count();
     assert!(in_time.len() > 900, "{} in time", in_time.len());
     assert_eq!(refused, 0, "of {} in time were refused", in_time.len());
-    node.host.checker.assert_clean();
+    node.host.checker.assert_no_breach();
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -13,8 +13,8 @@
     let mut host = Host::new(settings());
     host.submit(request(1));
     host.advance(2 * SECOND);
-    assert!(host.refused(1).is_some());
-    host.checker.assert_clean();
+    assert!(host.refusal_advice(1).is_some());
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -24,7 +24,7 @@
         let mut r = request(id);
         r.timeout = timeout;
         host.submit(r);
-        assert!(host.refused(id).is_some());
+        assert!(host.refusal_advice(id).is_some());
     }
     assert!(host.sent().is_empty());
 }
@@ -37,7 +37,7 @@
         let mut host = Host::new(host_settings);
         host.submit(request(1));
         host.advance(2 * SECOND);
-        assert_eq!(host.refused(1).is_some_and(|t| t > 0), advice);
+        assert_eq!(host.refusal_advice(1).is_some_and(|t| t > 0), advice);
     }
 }
 
@@ -53,7 +53,7 @@
     host.answer(2, 0, Outcome::Full);
     host.advance(100_000);
     assert_eq!(host.sent(), [1, 2, 2]);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -69,7 +69,7 @@
     host.answer(1, 1, Outcome::Error);
     assert_eq!(host.sent(), [1, 1], "past the window");
     assert!(host.failed(1));
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -85,7 +85,7 @@
     host.answer(1, 0, Outcome::Reset);
     host.advance(2 * SECOND);
     assert_eq!(host.sent(), [1]);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -102,8 +102,8 @@
     host.submit(request(2));
     host.advance(2 * SECOND);
     assert_eq!(host.sent(), [1]);
-    assert!(host.refused(2).is_some());
-    host.checker.assert_clean();
+    assert!(host.refusal_advice(2).is_some());
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -137,7 +137,7 @@
     }
     let sent = host.sent().len();
     assert!((8..=11).contains(&sent), "{sent} sent in two seconds, this host's part is ten");
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -178,7 +178,7 @@
     assert_eq!(host.sent(), [1, 2]);
     host.advance(400_000);
     assert_eq!(host.sent(), [1, 2, 3]);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -194,8 +194,8 @@
         }
     }
     assert_eq!(host.sent().len(), 5 + 2);
-    assert!(host.refused(4).is_some(), "refused at once, not kept waiting");
-    host.checker.assert_clean();
+    assert!(host.refusal_advice(4).is_some(), "refused at once, not kept waiting");
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -223,7 +223,7 @@
     let before = host.sent().len();
     // A full part of 16 units and a slack of 2 allow nine requests of two units.
     assert_eq!(submit(&mut host, 20) - before, 9);
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
--- a/crates/decisions/tests/waiting.rs
+++ b/crates/decisions/tests/waiting.rs
@@ -73,10 +73,10 @@
     }
     host.advance(210_000);
     assert!(
-        host.refused(9).is_some_and(|t| t > 0),
+        host.refusal_advice(9).is_some_and(|t| t > 0),
         "its latency target of 200 ms is over, its deadline is not"
     );
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -113,7 +113,7 @@
     }
     let sent = host.sent().len();
     assert!((6..=12).contains(&sent), "{sent} sent to a node that never answered");
-    host.checker.assert_clean();
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -126,20 +126,20 @@
     (first.key, first.timeout) = (Some(KeyId(99)), 150_000);
     host.submit(first);
     host.advance(160_000);
-    assert!(host.refused(20).is_some(), "half of its client's time is over");
+    assert!(host.refusal_advice(20).is_some(), "half of its client's time is over");
     host.advance(100_000);
     let mut retry = request(21);
     (retry.key, retry.is_retry) = (Some(KeyId(99)), true);
     host.submit(request(5));
     host.submit(retry);
     assert!(
-        host.refused(21).is_some(),
+        host.refusal_advice(21).is_some(),
         "its latency target was over before it came, and another request waits"
     );
     let mut other = request(22);
     other.key = Some(KeyId(98));
     host.submit(other);
-    assert!(host.refused(22).is_none(), "a different request has its own latency target");
+    assert!(host.refusal_advice(22).is_none(), "a different request has its own latency target");
 }
 
 #[test]
@@ -152,7 +152,7 @@
     host.answer(0, 0, Outcome::Served);
     host.submit(request(1));
     assert!(
-        host.refused(1).is_some_and(|advice| advice > 0),
+        host.refusal_advice(1).is_some_and(|advice| advice > 0),
         "the node takes 400 ms, the latency target is 200 ms"
     );
     host.advance(2 * SECOND);
@@ -170,14 +170,14 @@
         host.submit(short);
     }
     host.advance(43_000);
-    assert!(host.refused(4).is_none());
+    assert!(host.refusal_advice(4).is_none());
     host.advance(2_000);
     assert!(
-        host.refused(4).is_some_and(|advice| advice > 0),
+        host.refusal_advice(4).is_some_and(|advice| advice > 0),
         "it is refused before half of its time is over"
     );
-    assert!((0..4).all(|id| host.refused(id).is_none()));
-    host.checker.assert_clean();
+    assert!((0..4).all(|id| host.refusal_advice(id).is_none()));
+    host.checker.assert_no_breach();
 }
 
 #[test]
@@ -191,16 +191,16 @@
     // It waits for the end of the node's backoff and would be sent again then; nothing of it was written to a
     // node.
     host.advance(24_000);
-    assert!(host.refused(0).is_some());
+    assert!(host.refusal_advice(0).is_some());
     let mut late = request(1);
     late.timeout = 100_000;
     host.advance(SECOND);
     host.submit(late);
     host.advance(60_000);
-    assert!(host.refused(1).is_none(), "its attempt is in flight");
+    assert!(host.refusal_advice(1).is_none(), "its attempt is in flight");
     host.answer(1, 0, Outcome::Unreachable);
-    assert!(host.refused(1).is_some(), "no attempt is in flight, and half of its time is over");
-    host.checker.assert_clean();
+    assert!(host.refusal_advice(1).is_some(), "no attempt is in flight, and half of its time is over");
+    host.checker.assert_no_breach();
 }
 
 #[test]
