--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -203,9 +203,9 @@
     /// The law's bound on attempts in flight, for requests within the reserve.
     pub bound: f64,
     /// The law's L: smoothed latency over latency target.
-    pub load: f64,
+    pub latency_ratio: f64,
     /// Attempts in flight, without those taken for lost.
-    pub held: usize,
+    pub in_flight: usize,
     /// Requests that wait for its shard.
     pub waiting: usize,
     /// It has attempts in flight and has not answered for too long.
--- a/crates/decisions/src/law.rs
+++ b/crates/decisions/src/law.rs
@@ -44,7 +44,7 @@
     pub(crate) fn latency_ratio(&self, view: &FleetView) -> f64 {
         let (prior_weight, own_weight) = (view.prior_weight, self.latency.weight.value_at(view.now));
         if own_weight + prior_weight > 0.0 {
-            (self.latency.ratio.value_at(view.now) + prior_weight * view.prior_load)
+            (self.latency.ratio.value_at(view.now) + prior_weight * view.prior_latency_ratio)
                 / (own_weight + prior_weight)
         } else {
             1.0
@@ -92,7 +92,8 @@
     /// beyond the reserve have a lower target. In a large fleet the count decays toward this host's part of a
     /// fresh bound.
     pub(crate) fn bound(&self, tier: usize, view: &FleetView) -> f64 {
-        let law = |n: f64| n / (1.0 + GAIN * (self.latency_ratio(view) / view.load_targets[tier] - 1.0));
+        let law =
+            |n: f64| n / (1.0 + GAIN * (self.latency_ratio(view) / view.latency_ratio_targets[tier] - 1.0));
         if view.fresh_bound < 1.0 {
             let age = (-((view.now - self.last_answer) as f64) / SMOOTHING).exp();
             let count = self
@@ -134,7 +135,7 @@
         let is_known = view.prior_weight > 0.0 || view.now - self.last_answer < SMOOTHING as Micros;
         let is_light = self.failures == 0
             && !self.is_silent(view.now)
-            && self.latency_ratio(view) < view.load_targets[SPARE];
+            && self.latency_ratio(view) < view.latency_ratio_targets[SPARE];
         if is_known { is_light } else { self.in_flight.is_empty() }
     }
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -74,8 +74,8 @@
         let shard = self.state.shards.get(&node.shard);
         Some(NodeSnapshot {
             bound: node.bound(law::RESERVE, &view),
-            load: node.latency_ratio(&view),
-            held: node.occupied() as usize,
+            latency_ratio: node.latency_ratio(&view),
+            in_flight: node.occupied() as usize,
             waiting: shard.map_or(0, |s| s.waiting + s.awaiting_token.len()),
             silent: node.is_silent(now),
             cold: node.started.is_some_and(|t| now - t < self.settings.warm_after),
--- a/crates/decisions/src/nodes.rs
+++ b/crates/decisions/src/nodes.rs
@@ -11,12 +11,12 @@
     pub(crate) now: Micros,
     /// This host's part of the bound of a node that has not answered; below 1 in a large fleet.
     pub(crate) fresh_bound: f64,
-    /// Target of the load by tier, as a ratio of latency to latency target.
-    pub(crate) load_targets: [f64; 3],
+    /// Target of the ratio of latency to latency target, by tier.
+    pub(crate) latency_ratio_targets: [f64; 3],
     /// Weight in answers of the means below within the estimate of a single node; 0 outside a large fleet.
     pub(crate) prior_weight: f64,
     /// Geometric mean over all nodes of latency to latency target.
-    pub(crate) prior_load: f64,
+    pub(crate) prior_latency_ratio: f64,
     /// Geometric mean over all nodes of the latency, in microseconds.
     pub(crate) prior_latency: f64,
 }
--- a/crates/decisions/src/scheduler.rs
+++ b/crates/decisions/src/scheduler.rs
@@ -5,9 +5,10 @@
 use crate::settings::*;
 use crate::state::*;
 
-/// Load target beyond the reserve, times the square root of what a unit earns there: units that earn less
-/// stop at a lower latency and leave the node to the rest.
-const SPARE_LOAD_TARGET: f64 = 0.38;
+/// Target of the latency ratio beyond the reserve, for units of full worth. It is multiplied by the square
+/// root of the worth of the tier: units that earn less stop at a lower latency and leave the node to the
+/// rest.
+const SPARE_LATENCY_RATIO_TARGET: f64 = 0.38;
 /// Weight in answers that the mean over all nodes has in the L of one node, in a large fleet.
 const PRIOR_WEIGHT: f64 = 0.3;
 /// A request with the fingerprint of one that ended unserved within this time before it is taken for its
@@ -21,7 +22,7 @@
 /// One host's scheduler: see the [crate documentation](crate) for its use.
 pub struct Scheduler {
     pub(crate) settings: Settings,
-    pub(crate) load_targets: [f64; 3],
+    pub(crate) latency_ratio_targets: [f64; 3],
     /// Logarithms of the latencies of all nodes.
     pub(crate) fleet_latency: LatencyMean,
     pub(crate) state: State,
@@ -31,10 +32,10 @@
     /// Creates a scheduler without nodes or requests. `seed` starts its random number generator.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         settings.hosts = settings.hosts.max(settings.index.saturating_add(1));
-        let target = |worth: f64| SPARE_LOAD_TARGET * worth.clamp(0.01, 1.0).sqrt();
-        let load_targets = [1.0, target(settings.share_worth), target(settings.spare_worth)];
+        let target = |worth: f64| SPARE_LATENCY_RATIO_TARGET * worth.clamp(0.01, 1.0).sqrt();
+        let latency_ratio_targets = [1.0, target(settings.share_worth), target(settings.spare_worth)];
         let state = State { random: seed, ..State::default() };
-        Scheduler { settings, load_targets, fleet_latency: LatencyMean::new(SMOOTHING), state }
+        Scheduler { settings, latency_ratio_targets, fleet_latency: LatencyMean::new(SMOOTHING), state }
     }
 
     /// Handles one event at the time `now` and appends the actions it leads to.
@@ -119,11 +120,18 @@
         let used = self.state.shard_usage.used as f64 / self.state.shards.len().max(1) as f64;
         let fresh_bound = (FLEET_INITIAL_BOUND / (f64::from(self.settings.hosts) * used)).min(1.0);
         let mean = |sum: f64| if weight > 0.0 { (sum / weight).exp() } else { 1.0 };
-        let (prior_load, prior_latency) =
+        let (prior_latency_ratio, prior_latency) =
             (mean(self.fleet_latency.ratio.sum), mean(self.fleet_latency.latency.sum));
         let prior_weight = if fresh_bound < 1.0 { PRIOR_WEIGHT } else { 0.0 };
-        let (now, load_targets) = (self.state.now, self.load_targets);
-        FleetView { now, load_targets, fresh_bound, prior_weight, prior_load, prior_latency }
+        let (now, latency_ratio_targets) = (self.state.now, self.latency_ratio_targets);
+        FleetView {
+            now,
+            latency_ratio_targets,
+            fresh_bound,
+            prior_weight,
+            prior_latency_ratio,
+            prior_latency,
+        }
     }
 
     fn on_nodes(&mut self, complete: bool, entries: Vec<NodeEntry>) {
@@ -221,20 +229,20 @@
         // request of the same fingerprint just after one that was not served is taken for its retry.
         let window = if request.is_retry { SWEEP_INTERVAL } else { UNMARKED_RETRY_WINDOW };
         let unserved = self.state.recent_unserved.remove(&fingerprint(&request));
-        let before = unserved.filter(|u| now - u.ended < window);
+        let earlier_try = unserved.filter(|u| now - u.ended < window);
         // A retry after that due time used to be refused at once, and so were all its successors, on an idle
         // node. It is late work, with a latency target of its own to be sent in. For the cost see
         // `admits_late`.
-        let late = before.filter(|u| u.due <= now);
-        let first_due = before.map_or(own_due, |u| u.due);
-        let due = if late.is_some() { own_due } else { first_due }.min(deadline);
+        let late_retry_of = earlier_try.filter(|u| u.due <= now);
+        let first_due = earlier_try.map_or(own_due, |u| u.due);
+        let due = if late_retry_of.is_some() { own_due } else { first_due }.min(deadline);
         // A client with little time would be kept for most of it and then refused, when it could have gone
         // elsewhere. A request that is not sent in time for its answer to arrive by half of the client's time
         // is refused then; an eighth of that half is left for the answer's way back. The cost: a late chance
         // to be sent is lost.
         let send_by = due.min(now + request.timeout * 7 / 16);
         let mut open = OpenRequest::new(request, RESERVE, first_due, due, deadline);
-        open.last_timely_try_ended = late.map(|u| u.ended);
+        open.last_timely_try_ended = late_retry_of.map(|u| u.ended);
         open.send_by = send_by;
         open
     }
@@ -245,8 +253,8 @@
         let plan = &self.settings.plans[open.request.plan];
         let Some(volume) = self.state.volumes.get_mut(&open.request.volume) else { return };
         // Late retries leave half of the reserve to requests in time.
-        let kept = if open.is_late_retry() { volume.reserve.capacity / 2.0 } else { 0.0 };
-        if plan.reserve > 0.0 && volume.reserve.level_at(now) >= open.request.units + kept {
+        let min_remaining = if open.is_late_retry() { volume.reserve.capacity / 2.0 } else { 0.0 };
+        if plan.reserve > 0.0 && volume.reserve.level_at(now) >= open.request.units + min_remaining {
             volume.reserve.add(now, -open.request.units);
         } else {
             open.tier = SHARE;
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -36,7 +36,7 @@
 fn lost_requests_and_second_answers_are_detected() {
     let mut checker = checker_for(settings());
     checker.event(0, &Event::Request(request(1)));
-    checker.overdue(2 * SECOND);
+    checker.record_overdue(2 * SECOND);
     assert_breach(&checker, "1: no final answer");
     checker.event(0, &Event::Request(request(2)));
     checker.action(0, &Action::Fail { request: RequestId(2) });
--- a/crates/decisions/tests/common/checker.rs
+++ b/crates/decisions/tests/common/checker.rs
@@ -261,7 +261,7 @@
     }
 
     /// Records requests that should have had their final answer.
-    pub fn overdue(&mut self, now: Micros) {
+    pub fn record_overdue(&mut self, now: Micros) {
         let late: Vec<RequestId> = self.open.iter().filter(|o| *o.1 + 8_000 < now).map(|o| *o.0).collect();
         for id in late {
             self.open.remove(&id);
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -146,7 +146,7 @@
             self.handle(Event::Timer(token));
         }
         self.now = then;
-        self.checker.overdue(self.now);
+        self.checker.record_overdue(self.now);
     }
 
     pub fn advance(&mut self, span: Micros) {
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -114,7 +114,7 @@
         }
         host.advance(800_000);
         host.answer(0, 0, Outcome::TimedOut);
-        host.scheduler.node_snapshot(NodeId(0)).expect("the node").load
+        host.scheduler.node_snapshot(NodeId(0)).expect("the node").latency_ratio
     };
     assert!(load_after(true) < 0.5, "{}", load_after(true));
     assert!(load_after(false) > 1.0, "{}", load_after(false));
--- a/crates/decisions/tests/order.rs
+++ b/crates/decisions/tests/order.rs
@@ -10,7 +10,7 @@
 struct ClosedLoop {
     host: Host,
     next: u64,
-    /// Open requests, and when they came.
+    /// Open requests, and when they arrived.
     open: Vec<(u64, Micros)>,
     waits: Vec<Micros>,
     unserved: usize,
@@ -33,11 +33,11 @@
     /// Adds requests until `depth` are open.
     fn fill(&mut self, depth: usize) {
         while self.open.len() < depth {
-            let mut ask = request(self.next);
+            let mut new_request = request(self.next);
             if self.next % 8 < self.hot {
-                ask.key = Some(KeyId(u64::MAX));
+                new_request.key = Some(KeyId(u64::MAX));
             }
-            self.host.submit(ask);
+            self.host.submit(new_request);
             self.open.push((self.next, self.host.now));
             self.next += 1;
         }
@@ -52,8 +52,8 @@
             if self.host.now - sent >= Self::SERVICE {
                 self.host.answer(id.0, attempt, Outcome::Served);
                 if let Some(at) = self.open.iter().position(|(n, _)| *n == id.0) {
-                    let (_, came) = self.open.swap_remove(at);
-                    self.waits.push(self.host.now - came);
+                    let (_, arrived) = self.open.swap_remove(at);
+                    self.waits.push(self.host.now - arrived);
                 }
                 self.fill(depth);
             }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Keeps 128 requests open at one node, `hot` of every eight for the same block: all are served quickly.
+/// Keeps 128 requests open at one node, `hot` of every eight for the same key: all are served quickly.
 fn check_all_are_served(hot: u64) {
     const DEPTH: usize = 128;
     let mut load = ClosedLoop::new(&[entry(0, 0)], hot);
@@ -119,14 +119,14 @@
             && let Some((&(id, attempt), _)) =
                 host.checker.in_flight.iter().min_by_key(|(_, (_, sent))| *sent)
         {
-            let came = id.0 as Micros / 2 * SERVICE;
+            let arrived = id.0 as Micros / 2 * SERVICE;
             host.answer(id.0, attempt, Outcome::Served);
-            in_time += u64::from(host.now - came <= latency_target);
+            in_time += u64::from(host.now - arrived <= latency_target);
             busy_until = host.now + SERVICE;
         }
         host.advance(SERVICE);
     }
-    let could = (SECONDS * SECOND / SERVICE) as u64;
-    assert!(in_time * 10 > could * 9, "{in_time} in time of {could} that the node could serve");
+    let max_served = (SECONDS * SECOND / SERVICE) as u64;
+    assert!(in_time * 10 > max_served * 9, "{in_time} in time of {max_served} that the node could serve");
     host.checker.assert_no_breach();
 }
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -52,7 +52,7 @@
             let state = self.core.node_snapshot(*id);
             NodeStatus {
                 bound: state.map_or(0.0, |l| l.bound),
-                latency_ratio: state.map_or(0.0, |l| l.load),
+                latency_ratio: state.map_or(0.0, |l| l.latency_ratio),
                 waiting: state.map_or(0, |l| l.waiting),
                 silent: state.is_some_and(|l| l.silent),
                 cold: state.is_some_and(|l| l.cold),
