--- a/crates/platform/examples/unanswered_cost.rs
+++ b/crates/platform/examples/unanswered_cost.rs
@@ -97,7 +97,7 @@
             let began = Instant::now();
             for now in 0..CALLS {
                 let mut records = AttemptRecords::default();
-                records.decided(black_box(now), NodeId(0));
+                records.add(black_box(now), NodeId(0));
                 records.ended(black_box(now + 1), 0, Outcome::Served);
                 black_box(&records);
             }
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -133,8 +133,8 @@
     let timeout = parse_number(timeout).filter(|&ms| ms > 0).ok_or(Rejection::Timeout)?;
     // No client waits longer than the longest configured deadline, so a longer stated timeout holds nothing
     // beyond that.
-    let timeout_us = if service.longest > 0 {
-        (timeout.saturating_mul(1000)).min(service.longest)
+    let timeout_us = if service.longest_deadline > 0 {
+        (timeout.saturating_mul(1000)).min(service.longest_deadline)
     } else {
         timeout * 1000
     };
--- a/crates/platform/src/closing.rs
+++ b/crates/platform/src/closing.rs
@@ -4,7 +4,7 @@
 
 /// Closed client connections that may still hold a descriptor when another one is accepted; less than the
 /// reserve of descriptors.
-const MAX_CLOSING: usize = 8;
+const MAX_UNRELEASED: usize = 8;
 
 /// Delays accepting while too many closed client connections still hold their descriptors.
 ///
@@ -14,13 +14,13 @@
 /// own share of descriptors and don't count: when a zone stopped responding, abandoned connection attempts
 /// kept gateways from accepting clients for seconds (docs/incidents/deaf-gateway.md).
 #[derive(Debug, Default)]
-pub(crate) struct ClosingConnections {
+pub(crate) struct UnreleasedConnections {
     clients: usize,
     /// An accept permit is waiting for descriptors.
     accept_waiting: bool,
 }
 
-impl ClosingConnections {
+impl UnreleasedConnections {
     /// Notes a connection that was closed locally and whose reader has not ended.
     pub(crate) fn closed(&mut self, socket: SocketId) {
         self.clients += usize::from(matches!(socket, SocketId::Client(_)));
@@ -32,13 +32,13 @@
         if matches!(socket, SocketId::Client(_)) {
             self.clients = self.clients.saturating_sub(1);
         }
-        self.clients < MAX_CLOSING && std::mem::take(&mut self.accept_waiting)
+        self.clients < MAX_UNRELEASED && std::mem::take(&mut self.accept_waiting)
     }
 
-    /// Returns whether another connection may be accepted now; if not, [`ClosingConnections::released`]
+    /// Returns whether another connection may be accepted now; if not, [`UnreleasedConnections::released`]
     /// reports when.
     pub(crate) fn may_accept(&mut self) -> bool {
-        self.accept_waiting = self.clients >= MAX_CLOSING;
+        self.accept_waiting = self.clients >= MAX_UNRELEASED;
         !self.accept_waiting
     }
 }
@@ -49,23 +49,23 @@
 
     #[test]
     fn accepting_waits_while_many_closed_clients_hold_descriptors() {
-        let mut closing = ClosingConnections::default();
-        for n in 0..MAX_CLOSING as u64 {
-            assert!(closing.may_accept());
-            closing.closed(SocketId::Client(n));
+        let mut unreleased = UnreleasedConnections::default();
+        for n in 0..MAX_UNRELEASED as u64 {
+            assert!(unreleased.may_accept());
+            unreleased.closed(SocketId::Client(n));
         }
-        assert!(!closing.may_accept());
-        assert!(closing.released(SocketId::Client(0)));
-        assert!(!closing.released(SocketId::Client(1)), "one permit is issued once");
+        assert!(!unreleased.may_accept());
+        assert!(unreleased.released(SocketId::Client(0)));
+        assert!(!unreleased.released(SocketId::Client(1)), "one permit is issued once");
     }
 
     #[test]
-    fn closing_connections_to_nodes_and_discovery_do_not_delay_accepting() {
-        let mut closing = ClosingConnections::default();
+    fn unreleased_connections_to_nodes_and_discovery_do_not_delay_accepting() {
+        let mut unreleased = UnreleasedConnections::default();
         for n in 0..1000 {
-            closing.closed(SocketId::Node(n));
-            closing.closed(SocketId::Discovery(n));
+            unreleased.closed(SocketId::Node(n));
+            unreleased.closed(SocketId::Discovery(n));
         }
-        assert!(closing.may_accept());
+        assert!(unreleased.may_accept());
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -11,7 +11,7 @@
 
 /// Smallest usable number of file descriptors: eight clients, eight connections to nodes, and the gateway's
 /// own needs (`ResourceLimits`).
-const MIN_SOCKETS: u64 = 32;
+const MIN_DESCRIPTORS: u64 = 32;
 /// Smallest usable memory in MB: a gateway with little load takes 9 to 12 of them.
 const MIN_MEMORY_MB: u64 = 16;
 
@@ -38,14 +38,14 @@
     },
 }
 
-/// Resources that the machine grants this gateway.
+/// Resources that the platform grants this gateway.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct MachineLimits {
     /// Processor cores; may be a fraction.
     pub cores: f64,
     /// Memory in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: u64,
 }
 
@@ -59,9 +59,9 @@
             let why = format!("{} MB are too few; at least {MIN_MEMORY_MB} are required", self.memory_mb);
             return Err(("memory_mb", why));
         }
-        if self.sockets < MIN_SOCKETS {
+        if self.sockets < MIN_DESCRIPTORS {
             let why =
-                format!("{} descriptors are too few; at least {MIN_SOCKETS} are required", self.sockets);
+                format!("{} descriptors are too few; at least {MIN_DESCRIPTORS} are required", self.sockets);
             return Err(("sockets", why));
         }
         Ok(())
@@ -76,7 +76,8 @@
     seed: String,
     limits: MachineLimits,
     known: EndpointList,
-    settings: Profile,
+    #[serde(rename = "settings")]
+    profile: Profile,
 }
 
 /// The configuration of one gateway.
@@ -90,14 +91,14 @@
     pub discovery: SocketAddr,
     /// Seed of the random number generators.
     pub seed: u64,
-    /// Resources that the machine grants.
+    /// Resources that the platform grants.
     pub limits: MachineLimits,
-    /// The node list as this gateway last knew it.
+    /// The node list that the gateway starts with, as it was last announced.
     pub known: EndpointList,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Names and values of the settings that the gateway itself uses.
-    pub service: Service,
+    /// Settings that the gateway itself uses.
+    pub gateway_settings: Service,
 }
 
 impl Config {
@@ -127,9 +128,9 @@
             text.parse::<SocketAddr>()
                 .map_err(|e| key_error(key, format!("'{text}' is not an address with a port: {e}")))
         };
-        raw.settings.check().map_err(|e| key_error(&format!("settings.{}", e.key), e.why))?;
+        raw.profile.check().map_err(|e| key_error(&format!("settings.{}", e.key), e.why))?;
         let settings =
-            raw.settings.settings().map_err(|e: ProfileError| key_error("settings", e.to_string()))?;
+            raw.profile.settings().map_err(|e: ProfileError| key_error("settings", e.to_string()))?;
         raw.limits.check().map_err(|(key, why)| key_error(&format!("limits.{key}"), why))?;
         let discovery = address("discovery", &raw.discovery)?;
         if discovery.port() == 0 {
@@ -144,7 +145,7 @@
             seed,
             limits: raw.limits,
             known: raw.known,
-            service: raw.settings.service(),
+            gateway_settings: raw.profile.service(),
             settings,
         })
     }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -105,7 +105,7 @@
         connecting: bool,
     ) -> io::Result<()> {
         let connection = self.clone();
-        task::spawn("port", move || {
+        task::spawn("reader", move || {
             let end = connection.read(clock, &inbox, connecting);
             connection.unhandled_input.store(true, Ordering::SeqCst);
             let end = connection.classify_end(end);
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -82,8 +82,8 @@
     Close(u64),
     /// Apply a list, or changes, newer than all before.
     List(EndpointList),
-    /// A live watch has ended.
-    Lost,
+    /// A live watch on the current address has ended.
+    LiveWatchEnded,
 }
 
 struct OpenWatch {
@@ -115,12 +115,12 @@
 
 impl Discovery {
     /// Creates a client that opens its first watch at once. `grace`: drain grace period from the settings;
-    /// `known`: the remembered list.
+    /// `remembered`: the node list from the configuration.
     pub(crate) fn new(
         now: Micros,
         address: SocketAddr,
         grace: Micros,
-        known: &EndpointList,
+        remembered: &EndpointList,
         seed: u64,
     ) -> Self {
         Discovery {
@@ -130,8 +130,8 @@
             next_id: 0,
             last_call: now,
             next_call: now,
-            latest_revision: known.revision,
-            complete_revision: if known.malformed == 0 { known.revision } else { 0 },
+            latest_revision: remembered.revision,
+            complete_revision: if remembered.malformed == 0 { remembered.revision } else { 0 },
             older_since: None,
             malformed: 0,
             random: SmallRng::seed_from_u64(seed),
@@ -166,9 +166,9 @@
 
     /// Runs the timers that are due.
     ///
-    /// All agents may fall silent at the same moment behind a line that all wrote at the same moment, so the
-    /// next call is delayed at random to keep the gateways from calling all at once. The cost is that less
-    /// time is left until the loss counts.
+    /// All agents may fall silent at the same moment after an empty line that all sent at the same moment, so
+    /// the next call is delayed at random to keep the gateways from calling all at once. The cost is that
+    /// less time is left until the loss counts.
     pub(crate) fn tick(&mut self, now: Micros) -> Vec<Step> {
         let mut steps = Vec::new();
         for open in self.watches.iter_mut().filter(|w| w.watch.is_live()) {
@@ -204,12 +204,12 @@
         self.watches.retain(|w| !condition(w));
     }
 
-    /// Closes watches that have had their time, and one more if there are too many for another. Of those that
-    /// have delivered something, the one heard last may still deliver and stays.
+    /// Closes watches past [`CALL_TIMEOUT`], and one more if there are too many for another. Of those that
+    /// have delivered something, the one that last received input may still deliver and stays open.
     ///
-    /// Where the delay is short, an agent that takes longer to respond than a few delays would never be heard
-    /// if the oldest call made room. The second oldest is closed instead, so that one call always has its
-    /// full time. The cost is that a call in between might have been answered sooner.
+    /// Where the delay is short, an agent that takes longer to respond than a few delays would never get to
+    /// deliver a list if the oldest call made room. The second oldest is closed instead, so that one call
+    /// always has its full time. The cost is that a call in between might have been answered sooner.
     fn make_room(&mut self, now: Micros, steps: &mut Vec<Step>) {
         let responding = self.watches.iter().filter(|w| !w.current || w.watch.has_received());
         let last = responding.max_by_key(|w| w.watch.last_input_at()).map(|w| w.id);
@@ -234,8 +234,8 @@
         let was_live = open.watch.is_live();
         let received = open.watch.received(now, bytes);
         let (current, has_list) = (open.current, !received.lists.is_empty());
-        let live = open.watch.is_live() && !received.finished;
-        if was_live && !live && current && !received.finished {
+        let live = open.watch.is_live() && !received.must_close;
+        if was_live && !live && current && !received.must_close {
             // It delivers objects that are not lists: another watch is opened beside it.
             self.schedule_call(now);
         }
@@ -247,12 +247,12 @@
                 steps.push(Step::List(list));
             }
         }
-        // A live watch makes the others unnecessary; the previous address is heard until this watch has
-        // delivered something.
+        // A live watch on the current address makes the others on it, and suspect ones, unnecessary. A live
+        // watch on the previous address stays open until this one delivers a list.
         if live && current {
             self.close_where(&mut steps, |w| w.id != id && (w.current || has_list || !w.watch.is_live()));
         }
-        if received.finished {
+        if received.must_close {
             steps.push(Step::Close(id));
             steps.extend(self.ended(now, id));
         }
@@ -267,7 +267,7 @@
             return None;
         }
         self.schedule_call(now);
-        Some(Step::Lost)
+        Some(Step::LiveWatchEnded)
     }
 
     /// Schedules the next watch after a live one was lost. An agent that answers each call and ends it would
--- a/crates/platform/src/endpoint.rs
+++ b/crates/platform/src/endpoint.rs
@@ -19,9 +19,10 @@
 struct RawMember {
     id: String,
     host_port: String,
-    #[serde(default)]
-    locality: String,
-    cell: u32,
+    #[serde(default, rename = "locality")]
+    zone: String,
+    #[serde(rename = "cell")]
+    shard: u32,
     phase: String,
     #[serde(default)]
     up_since_ms: i64,
@@ -55,8 +56,8 @@
         Some(Endpoint {
             address: self.host_port.parse().ok()?,
             id: self.id,
-            zone: self.locality,
-            shard: self.cell,
+            zone: self.zone,
+            shard: self.shard,
             state,
             started: (self.up_since_ms > 0).then(|| self.up_since_ms.saturating_mul(1000)),
         })
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -14,7 +14,7 @@
 use transport::Ticker;
 
 use crate::acceptor::Acceptor;
-use crate::closing::ClosingConnections;
+use crate::closing::UnreleasedConnections;
 use crate::config::Config;
 use crate::connection::Connection;
 use crate::machine::Machine;
@@ -111,7 +111,7 @@
             acceptor,
             inbox: inbox.clone(),
             connections: HashMap::new(),
-            closing: ClosingConnections::default(),
+            unreleased: UnreleasedConnections::default(),
             starved: BTreeSet::new(),
             next_serial: 0,
             next_client: 0,
@@ -154,7 +154,7 @@
     acceptor: Arc<Acceptor>,
     inbox: Sender<Message>,
     connections: HashMap<SocketId, Arc<Connection>>,
-    closing: ClosingConnections,
+    unreleased: UnreleasedConnections,
     /// Connections with pending output and no descriptor for a writer.
     starved: BTreeSet<SocketId>,
     next_serial: u64,
@@ -255,14 +255,14 @@
 
     /// Handles the end of a connection that was closed locally: its descriptor is free.
     fn descriptor_released(&mut self, socket: SocketId) {
-        if self.closing.released(socket) {
+        if self.unreleased.released(socket) {
             self.acceptor.issue_permit();
         }
     }
 
     fn close(&mut self, socket: SocketId) {
         if let Some(connection) = self.connections.remove(&socket) {
-            self.closing.closed(socket);
+            self.unreleased.closed(socket);
             connection.close();
         }
     }
@@ -277,12 +277,12 @@
         self.machine.accepted(now, self.next_client);
         self.next_serial += 1;
         let connection = Connection::new(socket, self.next_serial, stream, self.max_response);
-        self.start_reader(now, socket, connection, false);
+        self.register_connection(now, socket, connection, false);
     }
 
-    /// Starts a connection's reader. If the connection or the reader couldn't be created, the connection
-    /// counts as ended.
-    fn start_reader(
+    /// Starts a connection's reader and registers the connection; one that is established at once is reported
+    /// to the machine. If the connection or the reader couldn't be created, the connection counts as ended.
+    fn register_connection(
         &mut self,
         now: Micros,
         socket: SocketId,
@@ -326,7 +326,7 @@
             Output::Connect(socket, address) => {
                 self.next_serial += 1;
                 let connection = Connection::connect(socket, self.next_serial, address);
-                self.start_reader(now, socket, connection, true);
+                self.register_connection(now, socket, connection, true);
             }
             Output::Write(socket, bytes) => self.queue_output(socket, &bytes),
             Output::WriteIfIdle(socket, bytes) => {
@@ -375,7 +375,7 @@
                 }
             }
             Output::Accept => {
-                if self.closing.may_accept() {
+                if self.unreleased.may_accept() {
                     self.acceptor.issue_permit();
                 }
             }
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -48,10 +48,15 @@
 const MIN_IDLE_BEFORE_CLOSE: Micros = 2_000_000;
 /// Idle time for which a connection that has served a request is kept while connections are available.
 const KEEP_ALIVE: Micros = 5_000_000;
-/// Limits of the lingering close, in which input is read and discarded so that the client can read the last
-/// response.
-const LINGER: Micros = 500_000;
-const LINGER_BYTES: usize = 256 << 10;
+/// Maximum duration of the lingering close, in which input is read and discarded so that the client can read
+/// the last response.
+const MAX_LINGER: Micros = 5_000_000;
+/// Interval of the attempts to close a lingering connection.
+const LINGER_CHECK_INTERVAL: Micros = 500_000;
+/// Time between the last responses of a shutdown and the earliest SIGKILL.
+const SHUTDOWN_LINGER: Micros = LINGER_CHECK_INTERVAL;
+/// Maximum number of bytes that are read and discarded on a connection before it is closed.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 /// How long connections are still accepted after SIGTERM; new ones arrive for 0.2 to 0.4 s.
 const ACCEPT_AFTER_SIGTERM: Micros = 500_000;
 /// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, at most
@@ -88,7 +93,7 @@
 ///
 /// After every call, [`Machine::drain_outputs`] returns the operations to perform.
 pub struct Machine {
-    service: Service,
+    gateway_settings: Service,
     cancel_attempts: bool,
     settings: decisions::Settings,
     limits: ResourceLimits,
@@ -117,7 +122,7 @@
     shutdown_since: Option<Micros>,
     stop_listening_sent: bool,
     /// The shutdown deadline has passed: responses close their connections.
-    closing_connections: bool,
+    responses_close_connections: bool,
     listener_closed: bool,
     rejected: u64,
     unanswered: UnansweredLog,
@@ -128,10 +133,12 @@
     /// Creates the state of a gateway that has just started and knows the nodes remembered in its
     /// configuration.
     pub fn new(now: Micros, config: &Config, limits: ResourceLimits) -> Self {
-        let idle_timeout = config.service.idle.unwrap_or(Micros::MAX / 8) / IDLE_FRACTION.1 * IDLE_FRACTION.0;
-        let connect_timeout = config.service.connect.unwrap_or(Micros::MAX / 8);
+        let idle_timeout = config.gateway_settings.node_idle_timeout.unwrap_or(Micros::MAX / 8)
+            / IDLE_FRACTION.1
+            * IDLE_FRACTION.0;
+        let connect_timeout = config.gateway_settings.connect_timeout.unwrap_or(Micros::MAX / 8);
         let mut machine = Machine {
-            service: config.service.clone(),
+            gateway_settings: config.gateway_settings.clone(),
             cancel_attempts: config.settings.cancellation,
             settings: config.settings.clone(),
             limits,
@@ -164,7 +171,7 @@
             out_of_descriptors: false,
             shutdown_since: None,
             stop_listening_sent: false,
-            closing_connections: false,
+            responses_close_connections: false,
             listener_closed: false,
             rejected: 0,
             unanswered: UnansweredLog::default(),
@@ -185,7 +192,7 @@
         let watch = Some(self.discovery.due());
         let shutdown =
             self.shutdown_since.filter(|_| !self.stop_listening_sent).map(|at| at + ACCEPT_AFTER_SIGTERM);
-        let shutdown = shutdown.or(self.shutdown_deadline().filter(|_| !self.closing_connections));
+        let shutdown = shutdown.or(self.answer_deadline().filter(|_| !self.responses_close_connections));
         let shutdown = shutdown.or(self.exit_deadline().filter(|_| !self.clients.is_empty()));
         [
             self.dispatcher.next_due(),
@@ -241,7 +248,7 @@
         self.client_timers.set(&mut client, id, now + request_timeout / 2);
         self.clients.insert(id, client);
         self.accept_wanted = true;
-        self.make_room(now);
+        self.accept_or_make_room(now);
     }
 
     /// Handles a failed accept. The next permit is issued when a connection has ended or at the next sweep.
@@ -306,6 +313,7 @@
 
     /// Handles a connection that ended or could not be established.
     pub fn connection_ended(&mut self, now: Micros, socket: SocketId, end: ConnectionEnd) {
+        // The end freed a descriptor: accepting may be tried again.
         self.out_of_descriptors = false;
         match socket {
             SocketId::Client(id) => self.client_ended(now, id, end),
@@ -322,11 +330,11 @@
 
     /// Runs all timers that are due.
     pub fn tick(&mut self, now: Micros) {
-        if !self.closing_connections && self.shutdown_deadline().is_some_and(|at| now >= at) {
-            self.closing_connections = true;
+        if !self.responses_close_connections && self.answer_deadline().is_some_and(|at| now >= at) {
+            self.responses_close_connections = true;
             let idle: Vec<u64> =
                 self.clients.iter().filter(|(_, c)| c.is_idle()).map(|(id, _)| *id).collect();
-            idle.into_iter().for_each(|id| self.close_if_quiet(now, id));
+            idle.into_iter().for_each(|id| self.start_close_if_no_input(now, id));
         }
         if self.exit_deadline().is_some_and(|at| now >= at) {
             let remaining: Vec<u64> = self.clients.keys().copied().collect();
@@ -360,7 +368,7 @@
             self.stop_listening_sent = true;
             self.outputs.push(Output::StopListening);
         }
-        self.make_room(now);
+        self.accept_or_make_room(now);
     }
 
     /// Switches to another discovery address. The previous watch is followed until the new one has delivered
--- a/crates/platform/src/machine/attempts.rs
+++ b/crates/platform/src/machine/attempts.rs
@@ -48,8 +48,8 @@
     ///
     /// Every attempt passes through here at the moment it is written, whatever it waited for. Otherwise one
     /// that waited could be written although its client has gone, its deadline has passed, its node drains or
-    /// was restarted, or the nodes have forgotten its idempotency key. An attempt dropped here has waited in
-    /// vain, and the decision module decides again.
+    /// was restarted, or the nodes have forgotten its idempotency key. An attempt dropped here was never
+    /// sent, and the decision module decides again.
     fn start_attempt(&mut self, now: Micros, connection: u64, first: AttemptId, fresh: bool) {
         let (mut next, mut invalid) = (Some(first), Vec::new());
         while let Some(attempt) = next.take() {
@@ -112,7 +112,7 @@
             match command {
                 Command::Send { attempt, node, .. } => {
                     if let Some(pending) = self.dispatcher.payload_mut(attempt.request) {
-                        pending.attempts.decided(now, node);
+                        pending.attempts.add(now, node);
                     }
                     self.send_attempt(now, attempt, node);
                 }
@@ -125,7 +125,7 @@
                     }
                 }
                 Command::EndUnserved(_, pending, verdict) => self.send_verdict(now, &pending, verdict),
-                // The watch delivers the list without a request.
+                // Nothing to do: the gateway always keeps a watch open, which delivers the list.
                 Command::Subscribe => {}
                 Command::Log(line) => tracing::info!("{line}"),
             }
--- a/crates/platform/src/machine/clients.rs
+++ b/crates/platform/src/machine/clients.rs
@@ -35,15 +35,15 @@
         self.handle_buffered_requests(now, id);
     }
 
-    /// Handles more pipelined bytes behind an open request than are buffered.
+    /// Handles pipelined bytes beyond the [`MAX_PIPELINED_BYTES`] that are buffered behind an open request.
     ///
-    /// A connection that isn't read doesn't show its end either, so the attempts of a client that sent much
-    /// and closed would start long afterwards. Reading therefore goes on and the bytes beyond the bound are
-    /// discarded: the open request's response is the last one. A client that still goes on sending gets an
-    /// error at once. The cost is that it has to resend what it sent so far ahead.
+    /// If reading stopped, the client's disconnect would go unnoticed, and attempts would still be sent for
+    /// it long afterwards. Reading therefore goes on and the bytes beyond the bound are discarded: the open
+    /// request's response is the last one. A client that still goes on sending gets an error at once. The
+    /// cost is that it has to resend what it sent so far ahead.
     fn pipeline_overflow(&mut self, now: Micros, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if client.discarded_bytes > LINGER_BYTES
+        if client.discarded_bytes > MAX_DISCARDED_BYTES
             && let Some((request, _)) = client.open_request.take()
         {
             self.rejected += 1;
@@ -70,7 +70,7 @@
                 Ok(Some(RequestEvent::Complete(request))) => {
                     // The deadline counts from the request's own last byte. Counted from now, a request that
                     // waited behind another would give its node more time than its client has left, and the
-                    // response would reach nobody.
+                    // response would come after the client's deadline.
                     let received_at =
                         client.arrivals.last_byte(client.decoder.buffered_bytes()).unwrap_or(now);
                     self.handle_request(now, id, received_at, request);
@@ -89,7 +89,7 @@
         if request.method == "GET" && request.target == "/ready" {
             return self.write_response(now, id, 200, &[], Bytes::from_static(b"ready\n"), keep);
         }
-        let admitted = admit(request, &self.service, &self.settings, now - received_at);
+        let admitted = admit(request, &self.gateway_settings, &self.settings, now - received_at);
         let admitted = admitted.and_then(|request| {
             if self.open_request_ids.contains(&request.id) { Err(Rejection::IdOpen) } else { Ok(request) }
         });
@@ -103,7 +103,7 @@
         };
         self.open_request_ids.insert(admitted.id.clone());
         let mut request_for_decisions = admitted.request.clone();
-        if let Some(shutdown) = self.shutdown_deadline() {
+        if let Some(shutdown) = self.answer_deadline() {
             request_for_decisions.timeout = request_for_decisions.timeout.min(shutdown - now).max(0);
         }
         let deadline = now + request_for_decisions.timeout;
@@ -120,7 +120,7 @@
     }
 
     /// Handles a client connection's timer: no complete request arrived in time, it was idle for too long, or
-    /// its lingering close is due.
+    /// its lingering connection is to be closed if nothing is pending.
     pub(super) fn client_timer_due(&mut self, now: Micros, id: u64) {
         let slots_short = self.accept_wanted && self.clients.len() >= self.limits.client_connections;
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -134,8 +134,9 @@
             return self.outputs.push(Output::CloseIfIdle(SocketId::Client(id)));
         }
         // Connections without a complete request would hold a descriptor for ever, and where slots are short
-        // keep out other clients with the same claim. The cost is that a client which takes longer than its
-        // timeout to send one request, or than half of it while others wait for a slot, must send it again.
+        // keep out other clients that need a slot just as much. The cost is that a client which takes
+        // longer than its timeout to send one request, or than half of it while others wait for a slot, must
+        // send it again.
         let deadline = client.waiting_since + client.request_timeout;
         let is_idle_after_response = client.served && client.is_idle();
         if !is_idle_after_response && now < deadline && !slots_short {
@@ -143,16 +144,16 @@
             return self.client_timers.set(client, id, next_check);
         }
         if client.is_idle() {
-            return self.close_if_quiet(now, id);
+            return self.start_close_if_no_input(now, id);
         }
         self.rejected += 1;
         self.write_response(now, id, 408, &[], Bytes::from_static(b"no whole request came in time\n"), false);
     }
 
     /// Closes a connection without an open request, unless it has unread input.
-    pub(super) fn close_if_quiet(&mut self, now: Micros, id: u64) {
+    pub(super) fn start_close_if_no_input(&mut self, now: Micros, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        self.client_timers.set(client, id, now + LINGER);
+        self.client_timers.set(client, id, now + LINGER_CHECK_INTERVAL);
         self.outputs.push(Output::ShutdownWriteIfNoInput(SocketId::Client(id)));
     }
 
@@ -169,7 +170,7 @@
     }
 
     fn start_lingering(now: Micros, client: &mut ClientConnection) {
-        client.lingering = Some(Lingering { bytes_left: LINGER_BYTES, close_at: now + KEEP_ALIVE });
+        client.lingering = Some(Lingering { bytes_left: MAX_DISCARDED_BYTES, close_at: now + MAX_LINGER });
     }
 
     /// Reports the result of [`Output::CloseIfIdle`]; `done` is false if input is unread or output is pending.
@@ -177,7 +178,7 @@
     /// Closing a connection with unread bytes resets it, and the response before it may be lost together with
     /// what the system still holds; a request that has just arrived may be lost the same way. The cost is
     /// that others wait for a slot until the input is handled, and that a client which doesn't read its
-    /// response keeps its slot for [`KEEP_ALIVE`].
+    /// response keeps its slot for [`MAX_LINGER`].
     pub fn close_result(&mut self, now: Micros, socket: SocketId, done: bool) {
         let SocketId::Client(id) = socket else { return };
         if done {
@@ -186,16 +187,18 @@
         if let Some(client) = self.clients.get_mut(&id) {
             client.close_declined = true;
             if client.lingering.is_some() {
-                self.client_timers.set(client, id, now + LINGER);
+                self.client_timers.set(client, id, now + LINGER_CHECK_INTERVAL);
             }
         }
-        self.make_room(now);
+        self.accept_or_make_room(now);
     }
 
+    /// Removes a client whose connection was closed locally and uses the free slot; its open request, if any,
+    /// goes on.
     fn forget_client(&mut self, now: Micros, id: u64) {
         if let Some(client) = self.clients.remove(&id) {
             self.client_timers.remove(&client, id);
-            self.make_room(now);
+            self.accept_or_make_room(now);
         }
     }
 
@@ -211,7 +214,7 @@
             }
         }
         self.outputs.push(Output::Close(SocketId::Client(id)));
-        self.make_room(now);
+        self.accept_or_make_room(now);
     }
 
     pub(super) fn close_client(&mut self, now: Micros, id: u64) {
@@ -225,18 +228,19 @@
     /// Connections opened by the hundred that send nothing, or only readiness checks, must not keep other
     /// clients out. The newest connection is spared, as its first request may be on the way and would be
     /// lost. The cost is that a client which is slow to send its first request may lose its connection.
-    pub(super) fn make_room(&mut self, now: Micros) {
+    pub(super) fn accept_or_make_room(&mut self, now: Micros) {
         if !self.accept_wanted || self.out_of_descriptors {
             return;
         }
         if self.clients.len() >= self.limits.client_connections {
-            let may_close = |c: &ClientConnection| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
+            let idle_long_enough = |c: &ClientConnection| now - c.waiting_since >= MIN_IDLE_BEFORE_CLOSE;
             let can_close = |c: &ClientConnection| {
-                !c.close_declined && (c.lingering.is_some() || c.is_idle() && (!c.served || may_close(c)))
+                !c.close_declined
+                    && (c.lingering.is_some() || c.is_idle() && (!c.served || idle_long_enough(c)))
             };
             let candidates = self.clients.iter().filter(|(id, c)| **id != self.newest_client && can_close(c));
             // Connections that have their last response come first.
-            let rank = |c: &ClientConnection| (c.lingering.is_none(), !may_close(c), c.waiting_since);
+            let rank = |c: &ClientConnection| (c.lingering.is_none(), !idle_long_enough(c), c.waiting_since);
             let Some(id) = candidates.min_by_key(|(id, c)| (rank(c), **id)).map(|(id, _)| *id) else {
                 self.queue_blocked_since.get_or_insert(now);
                 return;
@@ -285,11 +289,11 @@
         body: Bytes,
         keep: bool,
     ) {
-        let may_end = self.closing_connections || self.is_crowded();
+        let may_close = self.responses_close_connections || self.is_crowded();
         let Some(client) = self.clients.get_mut(&id) else { return };
         // Requests already received behind this one would be lost if the connection closed now, so it is kept
         // until they are answered.
-        let keep = keep && !(may_end && client.decoder.is_idle());
+        let keep = keep && !(may_close && client.decoder.is_idle());
         let socket = SocketId::Client(id);
         if body.len() < MIN_SHARED_BODY {
             self.outputs.push(Output::Write(socket, http1::encode_response(status, fields, &body, keep)));
@@ -300,12 +304,12 @@
         }
         client.waiting_since = now;
         if keep {
-            let keep_for = if client.served { KEEP_ALIVE } else { REQUEST_TIMEOUT };
-            self.client_timers.set(client, id, now + keep_for);
-            self.make_room(now);
+            let idle_timeout = if client.served { KEEP_ALIVE } else { REQUEST_TIMEOUT };
+            self.client_timers.set(client, id, now + idle_timeout);
+            self.accept_or_make_room(now);
         } else {
             Self::start_lingering(now, client);
-            self.client_timers.set(client, id, now + LINGER);
+            self.client_timers.set(client, id, now + LINGER_CHECK_INTERVAL);
             self.outputs.push(Output::ShutdownWrite(socket));
         }
     }
--- a/crates/platform/src/machine/lists.rs
+++ b/crates/platform/src/machine/lists.rs
@@ -20,7 +20,7 @@
                     }
                     self.apply_list(now, &list, false);
                 }
-                discovery::Step::Lost => {
+                discovery::Step::LiveWatchEnded => {
                     self.dispatcher.node_list_failed(now);
                     self.run_dispatcher_commands(now);
                 }
--- a/crates/platform/src/machine/shutdown.rs
+++ b/crates/platform/src/machine/shutdown.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 impl Machine {
-    /// Returns the deadline of the shutdown, if one was requested: no request lasts longer, and connections
-    /// closed then have time to linger.
-    pub(super) fn shutdown_deadline(&self) -> Option<Micros> {
-        let longest = if self.service.longest > 0 {
-            self.service.longest.min(MAX_SHUTDOWN_DEADLINE)
+    /// Returns the time by which all requests are answered if a shutdown was requested; connections closed
+    /// then have [`SHUTDOWN_LINGER`] before the earliest SIGKILL.
+    pub(super) fn answer_deadline(&self) -> Option<Micros> {
+        let longest = if self.gateway_settings.longest_deadline > 0 {
+            self.gateway_settings.longest_deadline.min(MAX_SHUTDOWN_DEADLINE)
         } else {
             MAX_SHUTDOWN_DEADLINE
         };
-        self.shutdown_since.map(|at| at + longest + KILL_DELAY - LINGER)
+        self.shutdown_since.map(|at| at + longest + KILL_DELAY - SHUTDOWN_LINGER)
     }
 
     /// Returns when the last connections are closed during shutdown.
     ///
     /// A client that neither closes its connection nor reads would otherwise keep the process running until
     /// SIGKILL, which ends whatever is in progress. The cost is that a last response which its client takes
-    /// longer to read than `LINGER` less `EXIT_MARGIN` is cut off.
+    /// longer to read than `SHUTDOWN_LINGER` less `EXIT_MARGIN` is cut off.
     pub(super) fn exit_deadline(&self) -> Option<Micros> {
-        self.shutdown_deadline().map(|at| at + LINGER - EXIT_MARGIN)
+        self.answer_deadline().map(|at| at + SHUTDOWN_LINGER - EXIT_MARGIN)
     }
 
     /// Starts a graceful shutdown: connections are accepted for a little longer, and all admitted requests
@@ -36,7 +36,7 @@
     pub fn shut_down(&mut self, now: Micros) {
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
-            if let Some(deadline) = self.shutdown_deadline() {
+            if let Some(deadline) = self.answer_deadline() {
                 self.dispatcher.cap_deadlines(now, deadline);
                 self.run_dispatcher_commands(now);
             }
--- a/crates/platform/src/machine/summary.rs
+++ b/crates/platform/src/machine/summary.rs
@@ -29,7 +29,7 @@
 
     /// Formats the requests that ended unserved as `class:cause=count`.
     fn unserved_counts(&self) -> String {
-        let classes = &self.service.classes;
+        let classes = &self.gateway_settings.classes;
         let counts = self.dispatcher.unserved_by_cause().iter();
         let words: Vec<String> = counts
             .map(|((class, cause), count)| {
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Division of the machine's resources among the parts of a gateway.
+//! Division of the granted resources among the parts of a gateway.
 
 use std::fmt;
 
@@ -18,7 +18,7 @@
 }
 
 impl ResourceLimits {
-    /// Divides the file descriptors and the memory that the machine grants.
+    /// Divides the file descriptors and the memory that the platform grants.
     ///
     /// Without a free descriptor nothing can be accepted, opened or read, and the gateway stalls while it is
     /// alive. Discovery, the listener, the runtime and logs are reserved first, then nodes and clients get
--- a/crates/platform/src/socket.rs
+++ b/crates/platform/src/socket.rs
@@ -19,7 +19,8 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Some of the output was certainly not written, or the connection was never established.
+    /// The connection was never established, or it was closed or broke with output that was certainly not
+    /// sent in full.
     Cut,
     /// The peer closed its side in an orderly way.
     Orderly,
--- a/crates/platform/src/unanswered.rs
+++ b/crates/platform/src/unanswered.rs
@@ -10,7 +10,7 @@
 
 use crate::socket::ConnectionEnd;
 
-/// Records kept until they are logged; the oldest are dropped.
+/// Maximum number of records waiting to be logged; beyond it the oldest is dropped.
 const MAX_RECORDS: usize = 64;
 
 /// Why a request has no final response.
@@ -18,7 +18,7 @@
 pub(crate) enum Cause {
     /// The client's connection ended.
     ClientEnded(ConnectionEnd),
-    /// The request was answered, but its connection no longer existed.
+    /// The final response was ready, but the client's connection no longer existed.
     NoConnection,
 }
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct AttemptRecord {
     node: NodeId,
-    decided: Micros,
+    decided_at: Micros,
     ended: Option<(Micros, Outcome)>,
 }
 
@@ -36,8 +36,8 @@
 
 impl AttemptRecords {
     /// Adds an attempt. A request's attempts are numbered from 0 in this order.
-    pub(crate) fn decided(&mut self, now: Micros, node: NodeId) {
-        self.0.push(AttemptRecord { node, decided: now, ended: None });
+    pub(crate) fn add(&mut self, now: Micros, node: NodeId) {
+        self.0.push(AttemptRecord { node, decided_at: now, ended: None });
     }
 
     /// Records the end of an attempt.
@@ -68,7 +68,7 @@
         write!(f, "no answer: id={} client={} cause={:?} ", self.id, self.client, self.cause)?;
         write!(f, "read={} ended=+{} until=+{}", self.received_at, since(self.ended), since(self.deadline))?;
         for (n, attempt) in self.attempts.0.iter().enumerate() {
-            write!(f, " attempt{n}=node{}+{}", attempt.node.0, since(attempt.decided))?;
+            write!(f, " attempt{n}=node{}+{}", attempt.node.0, since(attempt.decided_at))?;
             if let Some((at, outcome)) = attempt.ended {
                 write!(f, "..+{}:{outcome:?}", since(at))?;
             }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -25,8 +25,8 @@
     pub(crate) lists: Vec<EndpointList>,
     /// Number of objects that were not lists.
     pub(crate) unknown_objects: u64,
-    /// The stream has ended or can't be parsed any further.
-    pub(crate) finished: bool,
+    /// The stream has ended, was refused or can't be parsed any further, so the connection is to be closed.
+    pub(crate) must_close: bool,
 }
 
 /// A watch on one connection, from its opening to its end.
@@ -102,7 +102,7 @@
         let (stream, objects) = &mut **reading;
         (self.last_input_at, self.has_received) = (now, true);
         stream.receive(bytes);
-        received.finished = loop {
+        received.must_close = loop {
             let piece = match stream.poll() {
                 Ok(Some(piece)) => piece,
                 Ok(None) => break stream.is_complete() || stream.status().is_some_and(|s| s != 200),
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn connections_close_after_the_answer_where_the_client_says_so() {
+fn connections_close_after_the_response_on_connection_close_and_http_1_0() {
     let closing = read_request("r1", 0).replace("Host: h\r\n", "Host: h\r\nConnection: close\r\n");
     let (mut gateway, client, node) = gateway_with_sent_request(&closing);
     gateway.receive(node, ok_response("1"));
     assert!(gateway.take_written(client).contains("Connection: close\r\n"));
-    assert!(gateway.finished.contains(&client));
-    let old = read_request("r2", 0).replace("HTTP/1.1", "HTTP/1.0");
+    assert!(gateway.write_shut_down.contains(&client));
+    let http10_request = read_request("r2", 0).replace("HTTP/1.1", "HTTP/1.0");
     let client = gateway.connect_client();
-    gateway.receive(client, old);
+    gateway.receive(client, http10_request);
     gateway.finish_cooldown();
     gateway.receive(node, ok_response("2"));
-    assert!(gateway.finished.contains(&client));
+    assert!(gateway.write_shut_down.contains(&client));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     gateway.advance(3_000_000);
     assert!(gateway.connecting_to_nodes().is_empty() && gateway.machine.open_requests() == 0);
     assert_eq!(gateway.take_statuses(client), [400]);
-    assert!(gateway.finished.contains(&client) && gateway.closed.contains(&client));
+    assert!(gateway.write_shut_down.contains(&client) && gateway.closed.contains(&client));
 }
 
 #[test]
@@ -225,7 +225,8 @@
     let node = gateway.establish_node();
     gateway.receive(node, ok_response("1"));
     assert!(
-        !gateway.take_written(client).contains("Connection: close") && !gateway.finished.contains(&client)
+        !gateway.take_written(client).contains("Connection: close")
+            && !gateway.write_shut_down.contains(&client)
     );
     (0..13).for_each(|_| {
         gateway.connect_client();
@@ -233,7 +234,10 @@
     gateway.receive(client, read_request("r2", 0));
     gateway.finish_cooldown();
     gateway.receive(node, ok_response("2"));
-    assert!(gateway.take_written(client).contains("Connection: close") && gateway.finished.contains(&client));
+    assert!(
+        gateway.take_written(client).contains("Connection: close")
+            && gateway.write_shut_down.contains(&client)
+    );
 }
 
 #[test]
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -87,9 +87,9 @@
 
 /// A result that is reported to the machine after an operation.
 enum Report {
-    Stale(SocketId),
-    Parted(SocketId, bool),
-    GaveWay(SocketId, bool),
+    IdleWriteRejected(SocketId),
+    ShutdownWriteResult(SocketId, bool),
+    CloseResult(SocketId, bool),
     Cut(SocketId),
 }
 
@@ -100,7 +100,8 @@
     pub written: BTreeMap<SocketId, Vec<u8>>,
     pub connecting: Vec<(SocketId, SocketAddr)>,
     pub closed: BTreeSet<SocketId>,
-    pub finished: BTreeSet<SocketId>,
+    /// Connections whose writing side was shut down.
+    pub write_shut_down: BTreeSet<SocketId>,
     /// Connections that their node has closed without the machine knowing yet.
     pub closed_by_node: BTreeSet<SocketId>,
     /// Connections with input that was not read, and connections whose output the system does not accept.
@@ -156,7 +157,7 @@
             written: BTreeMap::new(),
             connecting: Vec::new(),
             closed: BTreeSet::new(),
-            finished: BTreeSet::new(),
+            write_shut_down: BTreeSet::new(),
             closed_by_node: BTreeSet::new(),
             unread: BTreeSet::new(),
             blocked_output: BTreeSet::new(),
@@ -191,11 +192,11 @@
             self.perform(std::mem::take(&mut outputs));
             for report in std::mem::take(&mut self.reports) {
                 match report {
-                    Report::Stale(socket) => self.machine.idle_write_rejected(self.now, socket),
-                    Report::Parted(socket, done) => {
+                    Report::IdleWriteRejected(socket) => self.machine.idle_write_rejected(self.now, socket),
+                    Report::ShutdownWriteResult(socket, done) => {
                         self.machine.shutdown_write_result(self.now, socket, done)
                     }
-                    Report::GaveWay(socket, done) => self.machine.close_result(self.now, socket, done),
+                    Report::CloseResult(socket, done) => self.machine.close_result(self.now, socket, done),
                     Report::Cut(socket) => {
                         self.machine.connection_ended(self.now, socket, ConnectionEnd::Cut)
                     }
@@ -220,27 +221,27 @@
                     assert!(!self.closed.contains(&socket), "used again after it was closed: {socket:?}");
                     if self.closed_by_node.remove(&socket) {
                         self.closed.insert(socket);
-                        self.reports.push(Report::Stale(socket));
+                        self.reports.push(Report::IdleWriteRejected(socket));
                     } else {
                         self.written.entry(socket).or_default().extend_from_slice(&bytes);
                     }
                 }
                 Output::ShutdownWrite(socket) => {
-                    self.finished.insert(socket);
+                    self.write_shut_down.insert(socket);
                 }
                 Output::ShutdownWriteIfNoInput(socket) => {
                     let done = !self.unread.contains(&socket);
                     if done {
-                        self.finished.insert(socket);
+                        self.write_shut_down.insert(socket);
                     }
-                    self.reports.push(Report::Parted(socket, done));
+                    self.reports.push(Report::ShutdownWriteResult(socket, done));
                 }
                 Output::CloseIfIdle(socket) => {
                     let done = !self.unread.contains(&socket) && !self.blocked_output.contains(&socket);
                     if done {
                         self.closed.insert(socket);
                     }
-                    self.reports.push(Report::GaveWay(socket, done));
+                    self.reports.push(Report::CloseResult(socket, done));
                 }
                 Output::CloseIfUnsent(socket) => {
                     if self.blocked_output.remove(&socket) {
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_connection_is_taken_back_with_its_client_where_nothing_may_be_cancelled() {
+fn an_attempt_waiting_for_a_connection_is_withdrawn_on_disconnect_even_without_cancellation() {
     for request in [read_request("r1", 0), write_request("r1", 0, "x")] {
         // While its connection is being established.
         let mut gateway = without_cancel();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_written_in_part_ends_with_its_client_and_one_that_is_out_stays_out() {
+fn on_disconnect_a_partly_written_attempt_is_closed_and_a_sent_one_continues() {
     let mut gateway = without_cancel();
     let client = client_with_request(&mut gateway, &write_request("r1", 0, "x"));
     let node = gateway.establish_node();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_client_that_sends_ahead_without_end_is_answered_and_closed() {
+fn a_client_that_pipelines_without_limit_gets_an_error_and_is_closed() {
     let mut gateway = without_cancel();
     let client = client_with_request(&mut gateway, &read_request("r1", 0));
     let node = gateway.connecting_to_nodes()[0];
@@ -101,12 +101,12 @@
     assert_eq!(gateway.take_statuses(client), [400]);
     gateway.establish(node);
     gateway.advance(1_000_000);
-    assert_eq!(gateway.take_written(node), "", "its request was taken back");
+    assert_eq!(gateway.take_written(node), "", "its request was withdrawn");
     assert_eq!(gateway.machine.open_requests(), 0);
 }
 
 #[test]
-fn nothing_is_written_past_its_clients_time_and_what_never_began_is_refused() {
+fn nothing_is_sent_after_the_deadline_and_a_request_never_sent_is_refused() {
     // The connection is established exactly at the deadline, or later; a write that never started is refused.
     for late in [0, 1, 300_000] {
         let mut gateway = without_cancel();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_further_attempt_that_waits_is_not_begun_once_its_nodes_may_have_forgotten_the_key() {
+fn a_waiting_retry_is_not_sent_once_nodes_may_have_forgotten_the_idempotency_key() {
     let window = 300_000;
     let mut gateway = TestGateway::with_settings(|settings| {
         settings["classes"][1]["keyTtlUs"] = window.into();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_goes_elsewhere_when_its_node_drains() {
+fn a_waiting_attempt_is_reassigned_when_its_node_drains() {
     let mut gateway = without_cancel();
     let watch = gateway.establish_answered_watch();
     let client = client_with_request(&mut gateway, &read_request("r1", 0));
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_node_which_is_another_process_by_then_is_decided_anew() {
+fn a_waiting_attempt_is_decided_again_when_its_node_restarted() {
     let mut gateway = without_cancel();
     let watch = gateway.establish_answered_watch();
     let client = client_with_request(&mut gateway, &read_request("r1", 0));
@@ -250,13 +250,13 @@
 }
 
 #[test]
-fn a_request_that_has_come_when_its_idle_connection_is_let_go_is_answered() {
+fn a_request_that_arrives_as_its_idle_connection_closes_is_answered() {
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.receive(node, ok_response("1"));
     gateway.take_written(client);
     gateway.unread.insert(client);
     gateway.advance(5_100_000);
-    assert!(!gateway.finished.contains(&client) && !gateway.closed.contains(&client));
+    assert!(!gateway.write_shut_down.contains(&client) && !gateway.closed.contains(&client));
     gateway.receive(client, read_request("r2", 0));
     let node = gateway.connecting_to_nodes().first().copied().map_or(node, |connecting| {
         gateway.establish(connecting);
@@ -267,12 +267,12 @@
 }
 
 #[test]
-fn what_comes_behind_the_end_that_a_connection_was_told_is_never_sent_on() {
+fn requests_received_after_the_write_side_was_shut_down_are_never_forwarded() {
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
     gateway.receive(node, ok_response("1"));
     gateway.take_written(node);
     gateway.advance(5_100_000);
-    assert!(gateway.finished.contains(&client));
+    assert!(gateway.write_shut_down.contains(&client));
     gateway.receive(client, read_request("r2", 0));
     gateway.advance(1_000_000);
     assert!(gateway.take_written(node).is_empty() && gateway.connecting_to_nodes().is_empty());
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn requests_behind_the_one_whose_answer_ends_its_connection_are_not_taken() {
+fn requests_pipelined_behind_connection_close_are_ignored() {
     let mut gateway = without_cancel();
     let last = read_request("r1", 0).replace("Host: h\r\n", "Host: h\r\nConnection: close\r\n");
     let client = client_with_request(&mut gateway, &(last + &read_request("r2", 0)));
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn half_an_answer_on_a_resting_connection_reaches_nobody() {
+fn a_partial_response_on_an_idle_connection_is_never_forwarded() {
     for rest in [1_000, 2_000_000] {
         let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r1", 0));
         gateway.receive(node, ok_response("1"));
@@ -330,16 +330,16 @@
     gateway.advance(3_700_000 - 1);
     assert!(gateway.take_written(node).contains("X-Request-ID: r1"));
     assert_eq!(gateway.take_statuses(waits), [502], "its node said nothing, and it may have run");
-    assert!(gateway.finished.contains(&waits));
+    assert!(gateway.write_shut_down.contains(&waits));
 }
 
 /// A pipelined request's deadline must count from its own last byte, not from the moment at which the gateway
 /// comes to it. Otherwise its node is given 400 ms after 250 of them have passed, and the client gets its
 /// response too late or not at all.
 ///
-/// `Machine::send_final_response` went on with pipelined requests as if they had just arrived. In the restart soak, nodes
-/// were given up to 1.4 s more than was left, and pipelined requests had no response 0.6 s after their
-/// deadline.
+/// `Machine::send_final_response` went on with pipelined requests as if they had just arrived. In the restart
+/// soak, nodes were given up to 1.4 s more than was left, and pipelined requests had no response 0.6 s after
+/// their deadline.
 #[test]
 fn the_time_of_a_request_behind_an_open_one_counts_from_its_own_last_byte() {
     let mut gateway = TestGateway::with_two_nodes();
@@ -368,9 +368,9 @@
 /// Complete requests behind one whose response would end the connection must be answered first. The response
 /// ends the connection where slots are short or the gateway shuts down.
 ///
-/// `Machine::write_response` ended the connection without checking for pipelined requests. In the restart soak with
-/// many idle clients, pipelined requests ended without a response up to 0.6 s after they were written, with
-/// no attempt.
+/// `Machine::write_response` ended the connection without checking for pipelined requests. In the restart
+/// soak with many idle clients, pipelined requests ended without a response up to 0.6 s after they were
+/// written, with no attempt.
 #[test]
 fn requests_that_have_come_behind_an_answer_are_answered_before_their_connection_ends() {
     // Connection slots are short.
@@ -398,5 +398,5 @@
     gateway.perform_outputs();
     gateway.advance(1_700_000 - 1);
     assert_eq!(gateway.take_statuses(client).len(), 3);
-    assert!(gateway.finished.contains(&client));
+    assert!(gateway.write_shut_down.contains(&client));
 }
--- a/crates/platform/tests/machine.rs
+++ b/crates/platform/tests/machine.rs
@@ -97,7 +97,7 @@
     gateway.receive(node, ok_response("1"));
     assert_eq!(gateway.take_statuses(client), [200]);
     gateway.advance(200_000);
-    assert!(gateway.stopped_listening && !gateway.finished.contains(&client));
+    assert!(gateway.stopped_listening && !gateway.write_shut_down.contains(&client));
     gateway.end(late, false);
     gateway.end(client, false);
     assert!(!gateway.machine.is_finished(), "clients may still connect");
@@ -106,25 +106,27 @@
 }
 
 #[test]
-fn clients_are_served_until_the_shutdown_deadline_within_the_remaining_time() {
+fn until_the_shutdown_deadline_clients_are_served_with_timeouts_cut_to_the_time_left() {
     let (mut gateway, client, node) = gateway_with_sent_request(&write_request("r0", 0, "x"));
     gateway.receive(node, ok_response("0"));
     assert!(!gateway.take_written(client).contains("Connection: close\r\n"));
     // The longest deadline is 1 s: SIGKILL may come 1.7 s after the shutdown request.
     let shutdown_at = gateway.now;
+    // Half a second of lingering before SIGKILL.
+    let deadline = shutdown_at + 1_200_000;
     gateway.machine.shut_down(shutdown_at);
     let mut served_count = 0;
     while gateway.now < shutdown_at + 1_000_000 {
         gateway.advance(100_000);
         gateway.receive(client, write_request(&format!("k{served_count}"), 0, "x"));
-        let asked = gateway.take_written(node);
-        let left: i64 = (shutdown_at + 1_200_000 - gateway.now) / 1000;
-        let wait = format!("X-Timeout-Ms: {}\r\n", left.min(800));
-        assert!(asked.contains(&wait), "{wait} is not in {asked}");
+        let forwarded = gateway.take_written(node);
+        let left: i64 = (deadline - gateway.now) / 1000;
+        let timeout_header = format!("X-Timeout-Ms: {}\r\n", left.min(800));
+        assert!(forwarded.contains(&timeout_header), "{timeout_header} is not in {forwarded}");
         gateway.receive(node, ok_response("1"));
         assert!(
             !gateway.take_written(client).contains("Connection: close\r\n"),
-            "the client could not use another gateway"
+            "closed before the deadline, although no other gateway may take its requests"
         );
         served_count += 1;
     }
@@ -133,10 +135,10 @@
     gateway.receive(client, write_request("last", 0, "x"));
     assert!(!gateway.machine.is_finished());
     gateway.machine.listener_closed();
-    gateway.advance(shutdown_at + 1_200_000 - gateway.now);
+    gateway.advance(deadline - gateway.now);
     // The node doesn't respond: the client is answered when the time is up, and the connections end.
     assert!(gateway.take_written(client).contains("Connection: close\r\n"));
-    assert!(gateway.finished.contains(&client) && gateway.finished.contains(&idle));
+    assert!(gateway.write_shut_down.contains(&client) && gateway.write_shut_down.contains(&idle));
     gateway.advance(500_000);
     assert!(gateway.machine.is_finished() && gateway.now <= shutdown_at + 1_700_000);
 }
@@ -145,7 +147,7 @@
 /// until SIGKILL. Lingering was to end exactly at the earliest SIGKILL and went on where input was unread; in
 /// the restart soak nearly every process was still running 0 to 1 ms after it.
 #[test]
-fn nobody_who_stays_holds_the_process_up_to_the_earliest_kill() {
+fn lingering_clients_do_not_keep_the_process_until_the_earliest_sigkill() {
     let (mut gateway, client, node) = gateway_with_sent_request(&read_request("r0", 0));
     gateway.receive(node, ok_response("0"));
     let shutdown_at = gateway.now;
--- a/crates/platform/tests/nodes.rs
+++ b/crates/platform/tests/nodes.rs
@@ -222,7 +222,8 @@
         gateway.receive(node, piece);
     }
     assert!(gateway.take_written(client).ends_with(&long));
-    // Three at once exceed the common limit: the one that does is abandoned, the others are served.
+    // Together three exceed the total limit: the response that does so is abandoned, the other
+    // two are served.
     let clients: Vec<SocketId> = (0..3).map(|_| gateway.connect_client()).collect();
     let mut nodes = vec![node];
     for (n, client) in clients.iter().enumerate() {
--- a/crates/platform/tests/places.rs
+++ b/crates/platform/tests/places.rs
@@ -27,7 +27,7 @@
     gateway.establish(connecting[1]);
     gateway.blocked_output.insert(last);
     gateway.receive(connecting[1], ok_response("1"));
-    assert!(gateway.finished.contains(&last) && !gateway.closed.contains(&pending));
+    assert!(gateway.write_shut_down.contains(&last) && !gateway.closed.contains(&pending));
     (gateway, last)
 }
 
@@ -80,7 +80,7 @@
             open.push(client);
         }
         gateway.advance(10_000);
-        open.retain(|c| !gateway.finished.contains(c));
+        open.retain(|c| !gateway.write_shut_down.contains(c));
         assert!(gateway.now < start + 3_000_000, "{waiting} wait and {} are not answered", open.len());
     }
 }
--- a/crates/platform/tests/scenario/mod.rs
+++ b/crates/platform/tests/scenario/mod.rs
@@ -218,7 +218,7 @@
         if self.gateway.closed.contains(&client) {
             return;
         }
-        let after_end = self.gateway.finished.contains(&client);
+        let after_end = self.gateway.write_shut_down.contains(&client);
         self.checker.request_delivered(client, self.gateway.now, text, after_end);
         self.gateway.receive(client, text);
     }
--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -206,9 +206,9 @@
             classes: self.classes.iter().enumerate().map(class).collect(),
             plans: self.policies.iter().map(|p| p.name.clone()).collect(),
             shards: self.family_info.slots_total,
-            longest: self.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0),
-            idle: self.policy_limits.conn_idle_us,
-            connect: self.policy_limits.connect_timeout_us,
+            longest_deadline: self.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0),
+            node_idle_timeout: self.policy_limits.conn_idle_us,
+            connect_timeout: self.policy_limits.connect_timeout_us,
         }
     }
 }
--- a/crates/profile/src/service.rs
+++ b/crates/profile/src/service.rs
@@ -1,31 +1,32 @@
-//! What a gateway on sockets needs beside the module's settings.
+//! Settings that the gateway itself uses, beside those of the decision module.
 
 use decisions::Micros;
 
-/// A class as requests name it.
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassName {
-    /// Its name.
+    /// Name by which requests select it.
     pub name: String,
-    /// Its requests write.
+    /// Whether its requests write.
     pub writes: bool,
-    /// Its requests carry a key by which nodes know a repeat.
+    /// Whether its requests carry an idempotency key, by which nodes recognise a repetition.
     pub keyed: bool,
 }
 
-/// Names and figures of the service, by the order of the module's settings.
+/// Settings that the gateway itself uses. Classes and plans are in the order of the decision module's
+/// settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Service {
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<ClassName>,
-    /// Plans, by name.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    /// Shards, counted from 0; none: not told.
+    /// Number of shards, which are numbered from 0; none if not given.
     pub shards: Option<u32>,
     /// The longest deadline of a class.
-    pub longest: Micros,
-    /// Nodes close a connection that has been idle for so long.
-    pub idle: Option<Micros>,
-    /// A connection that is not up by then never comes.
-    pub connect: Option<Micros>,
+    pub longest_deadline: Micros,
+    /// Idle time after which nodes close a connection; none if not given.
+    pub node_idle_timeout: Option<Micros>,
+    /// Connect timeout; none if not given.
+    pub connect_timeout: Option<Micros>,
 }
