--- a/crates/capacity/src/parts/lists.rs
+++ b/crates/capacity/src/parts/lists.rs
@@ -32,7 +32,7 @@
     fn new(nodes: usize, seed: u64) -> Result<Stage, MeasureError> {
         let config = site::config(nodes, &site::whole(1, nodes), seed)?;
         let now = 1_000_000_000;
-        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let limits = ResourceLimits::from_machine(config.limits.descriptors, config.limits.memory_mb);
         let mut machine = Machine::new(now, &config, limits);
         let watch = machine.drain_outputs().find_map(|output| match output {
             Output::Connect(socket @ SocketId::Discovery(_), _) => Some(socket),
@@ -152,8 +152,11 @@
 
 /// A machine that remembers the whole list and has opened nothing.
 pub(super) fn machine(config: &platform::Config) -> Machine {
-    let mut machine =
-        Machine::new(0, config, ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb));
+    let mut machine = Machine::new(
+        0,
+        config,
+        ResourceLimits::from_machine(config.limits.descriptors, config.limits.memory_mb),
+    );
     machine.drain_outputs().for_each(drop::<Output>);
     machine
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -46,7 +46,8 @@
     /// Memory in MB.
     pub memory_mb: u64,
     /// Maximum number of open file descriptors.
-    pub sockets: u64,
+    #[serde(rename = "sockets")]
+    pub descriptors: u64,
 }
 
 impl MachineLimits {
@@ -59,9 +60,11 @@
             let why = format!("{} MB are too few; at least {MIN_MEMORY_MB} are required", self.memory_mb);
             return Err(("memory_mb", why));
         }
-        if self.sockets < MIN_DESCRIPTORS {
-            let why =
-                format!("{} descriptors are too few; at least {MIN_DESCRIPTORS} are required", self.sockets);
+        if self.descriptors < MIN_DESCRIPTORS {
+            let why = format!(
+                "{} descriptors are too few; at least {MIN_DESCRIPTORS} are required",
+                self.descriptors
+            );
             return Err(("sockets", why));
         }
         Ok(())
@@ -75,7 +78,8 @@
     discovery: String,
     seed: String,
     limits: MachineLimits,
-    known: EndpointList,
+    #[serde(rename = "known")]
+    remembered_nodes: EndpointList,
     #[serde(rename = "settings")]
     profile: Profile,
 }
@@ -94,7 +98,7 @@
     /// Resources that the platform grants.
     pub limits: MachineLimits,
     /// The node list that the gateway starts with, as it was last announced.
-    pub known: EndpointList,
+    pub remembered_nodes: EndpointList,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Settings that the gateway itself uses.
@@ -144,7 +148,7 @@
             name: raw.name,
             seed,
             limits: raw.limits,
-            known: raw.known,
+            remembered_nodes: raw.remembered_nodes,
             gateway_settings: raw.profile.service(),
             settings,
         })
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -100,7 +100,7 @@
             let _ = ticks.send(Message::Tick); // The engine ends last.
         })
         .map_err(GatewayError::Start)?;
-        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let limits = ResourceLimits::from_machine(config.limits.descriptors, config.limits.memory_mb);
         let machine = Machine::new(clock.now(), config, limits);
         acceptor.start(listener, inbox.clone()).map_err(GatewayError::Start)?;
         let (exit_guard, ended) = thread_mpsc::channel();
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -161,7 +161,7 @@
                 now,
                 config.discovery,
                 config.settings.drain_grace,
-                &config.known,
+                &config.remembered_nodes,
                 config.seed,
             ),
             next_sweep: now + SWEEP_INTERVAL,
@@ -177,7 +177,7 @@
             unanswered: UnansweredLog::default(),
             outputs: Vec::new(),
         };
-        machine.apply_list(now, &config.known, true);
+        machine.apply_list(now, &config.remembered_nodes, true);
         machine.tick(now);
         machine
     }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -23,10 +23,10 @@
     /// Without a free descriptor nothing can be accepted, opened or read, and the gateway stalls while it is
     /// alive. Discovery, the listener, the runtime and logs are reserved first, then nodes and clients get
     /// half each. The cost is that one half may be unused while the other is short.
-    pub fn from_machine(sockets: u64, memory_mb: u64) -> Self {
-        let sockets = usize::try_from(sockets).unwrap_or(usize::MAX);
-        let reserve = (sockets / 16).clamp(16, 64);
-        let half = sockets.saturating_sub(reserve) / 2;
+    pub fn from_machine(descriptors: u64, memory_mb: u64) -> Self {
+        let descriptors = usize::try_from(descriptors).unwrap_or(usize::MAX);
+        let reserve = (descriptors / 16).clamp(16, 64);
+        let half = descriptors.saturating_sub(reserve) / 2;
         // A connection takes some 24 KiB with its coroutine; half of the memory is left for the data.
         let limit_by_memory =
             usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1024) / 2 / 24 / 2;
--- a/crates/profile/src/lib.rs
+++ b/crates/profile/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings object that a host is told at its start, in the form of the simulator's first message.
+//! The settings object that a host receives when it starts, in the form of the simulator's first message.
 //!
-//! [`Profile`] is what serde reads; [`Profile::check`] tells whether a gateway can serve by it; [`Profile::settings`] is
-//! what the decision module is given; [`Service`] is what a gateway on sockets needs beside it: names of classes and plans,
-//! and the figures of connections. It decides nothing
-//! and holds no figure of its own. It is not a site file: those are `settings`'.
+//! [`Profile`] is the deserialized object; [`Profile::check`] checks that a gateway can serve requests with it;
+//! [`Profile::settings`] returns the settings of the decision module; [`Service`] holds those that the gateway
+//! itself uses: names of classes and plans, and timeouts. The crate makes no decisions and holds no settings of
+//! its own. Site files are read by the `settings` crate.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -1,4 +1,4 @@
-//! The object itself.
+//! The settings object and its conversion to the settings of the decision module and of the gateway.
 
 mod check;
 
@@ -9,17 +9,17 @@
 
 pub use check::Unservable;
 
-/// What cannot be understood in the settings.
+/// Why the settings can't be converted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
-    /// A word that no version of the settings has.
+    /// The `idempotency` of a class has an unknown value.
     #[error(
         "classes[{class}].idempotency: unknown word '{word}'; read_like, idempotency_key or non_idempotent is wanted"
     )]
     Idempotency {
         /// Index of the class.
         class: usize,
-        /// The word.
+        /// The unknown value.
         word: String,
     },
 }
@@ -154,10 +154,10 @@
 }
 
 impl Profile {
-    /// What the decision module is told.
+    /// Returns the settings of the decision module.
     ///
     /// # Errors
-    /// A word that is not understood.
+    /// The `idempotency` of a class has an unknown value.
     pub fn settings(&self) -> Result<Settings, ProfileError> {
         let budget = match (self.rules.look_back_us, self.rules.spare_attempts, self.rules.resend_ratio) {
             (_, None, None) => None,
@@ -195,7 +195,7 @@
         })
     }
 
-    /// What a gateway on sockets needs beside the module's settings.
+    /// Returns the settings that the gateway itself uses.
     pub fn service(&self) -> Service {
         let class = |(i, c): (usize, &WireClass)| ClassName {
             name: c.name.clone(),
--- a/crates/profile/src/profile/check.rs
+++ b/crates/profile/src/profile/check.rs
@@ -1,22 +1,23 @@
-//! Whether a gateway can serve by the settings at all.
+//! Checks whether a gateway can serve requests with given settings.
 //!
-//! Danger: figures that make no sense are found out request by request: everything is refused, or decided by numbers that
-//! are none, and nobody is told why. Every figure is held against what it means, and the first wrong one is named. What no
-//! part here reads is passed over, as keys are added by and by. Harm: a customer whose settings carry a slip in a figure
-//! that no request of theirs would meet has to mend it before the gateway starts.
+//! Without the check, nonsensical values would only show request by request: everything would be refused, or
+//! decided by values that are not numbers, without an error that names the cause. Each value is checked against
+//! its meaning, and the first invalid one is reported. Keys that nothing here reads are ignored, as keys are
+//! added over time. The cost is that a mistake in a value which no request would ever use also has to be
+//! corrected before the gateway starts.
 
 use super::*;
 
-/// The longest span that counts as one: sums with the time of day stay within a number.
+/// Longest valid duration; sums of it and the time of day don't overflow.
 const LONGEST: Micros = 1_000_000_000_000_000;
 
-/// A key with which nothing can be served.
+/// A key whose value prevents serving requests.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("key '{key}': {why}")]
 pub struct Unservable {
-    /// The key, from the settings object on.
+    /// Path of the key within the settings object.
     pub key: String,
-    /// Why.
+    /// What is wrong with the value.
     pub why: String,
 }
 
@@ -33,7 +34,7 @@
     wrong(key, format!("{value} microseconds are not possible here; {least} to {LONGEST} are"))
 }
 
-/// From nought on.
+/// Checks that a number is at least 0.
 fn amount(key: &str, value: f64) -> Checked {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
@@ -41,7 +42,7 @@
     wrong(key, format!("{value} is not possible here; a number from 0 on is"))
 }
 
-/// More than nought.
+/// Checks that a number is greater than 0.
 fn size(key: &str, value: f64) -> Checked {
     if value.is_finite() && value > 0.0 {
         return Ok(());
@@ -49,7 +50,7 @@
     wrong(key, format!("{value} is not possible here; a number above 0 is"))
 }
 
-/// Names that stand in a list each once.
+/// Checks that requests can carry the names in a list and that the names are unique.
 fn names<'a>(list: &str, each: impl Iterator<Item = &'a str>, fits: impl Fn(&str) -> bool) -> Checked {
     let mut before = Vec::new();
     for (i, name) in each.enumerate() {
@@ -66,10 +67,10 @@
 }
 
 impl Profile {
-    /// Whether requests can be served by these settings where lists are pushed.
+    /// Checks that requests can be served with these settings where discovery pushes the node lists.
     ///
     /// # Errors
-    /// The first key that stands against it.
+    /// The first key whose value is invalid.
     pub fn check(&self) -> Checked {
         self.check_classes()?;
         self.check_plans()?;
--- a/crates/world/src/world/gateway.rs
+++ b/crates/world/src/world/gateway.rs
@@ -116,7 +116,7 @@
         gateway.learning.begin(now, known, &self.changes, back);
         let known = self.register.whole(known);
         let config = config(&self.scenario, g, gateway.life, &known);
-        let limits = ResourceLimits::from_machine(config.limits.sockets, config.limits.memory_mb);
+        let limits = ResourceLimits::from_machine(config.limits.descriptors, config.limits.memory_mb);
         gateway.machine = Some(Machine::new(now, &config, limits));
         gateway.listening = true;
         gateway.due = Micros::MAX;
