--- a/crates/profile/src/profile.rs
+++ b/crates/profile/src/profile.rs
@@ -1,4 +1,4 @@
-//! The object itself.
+//! The settings object and its conversion to the settings of the decision module and of the gateway.
 
 mod check;
 
@@ -9,17 +9,17 @@
 
 pub use check::Unservable;
 
-/// What cannot be understood in the settings.
+/// Why the settings can't be converted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
-    /// A word that no version of the settings has.
+    /// The `idempotency` of a class has an unknown value.
     #[error(
         "classes[{class}].idempotency: unknown word '{word}'; read_like, idempotency_key or non_idempotent is wanted"
     )]
     Idempotency {
         /// Index of the class.
         class: usize,
-        /// The word.
+        /// The unknown value.
         word: String,
     },
 }
@@ -154,10 +154,10 @@
 }
 
 impl Profile {
-    /// What the decision module is told.
+    /// Returns the settings of the decision module.
     ///
     /// # Errors
-    /// A word that is not understood.
+    /// The `idempotency` of a class has an unknown value.
     pub fn settings(&self) -> Result<Settings, ProfileError> {
         let budget = match (self.rules.look_back_us, self.rules.spare_attempts, self.rules.resend_ratio) {
             (_, None, None) => None,
@@ -195,7 +195,7 @@
         })
     }
 
-    /// What a gateway on sockets needs beside the module's settings.
+    /// Returns the settings that the gateway itself uses.
     pub fn service(&self) -> Service {
         let class = |(i, c): (usize, &WireClass)| ClassName {
             name: c.name.clone(),
@@ -206,9 +206,9 @@
             classes: self.classes.iter().enumerate().map(class).collect(),
             plans: self.policies.iter().map(|p| p.name.clone()).collect(),
             shards: self.family_info.slots_total,
-            longest: self.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0),
-            idle: self.policy_limits.conn_idle_us,
-            connect: self.policy_limits.connect_timeout_us,
+            longest_deadline: self.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0),
+            node_idle_timeout: self.policy_limits.conn_idle_us,
+            connect_timeout: self.policy_limits.connect_timeout_us,
         }
     }
 }
