--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -272,9 +272,10 @@
     }
 
     /// Replaces a shard's allowance of retry tokens. Each retry uses one, and so does each first attempt of
-    /// an operation with `retry` set. Without a token a part is refused with `retry_after`, in microseconds,
-    /// as its advice, at once or after waiting for a token ([`Core::limit_token_waiters`]). A shard without
-    /// an allowance is unlimited.
+    /// an operation with `retry` set. Without a token a part waits if [`Core::limit_token_waiters`]
+    /// allows it. Otherwise, or if none comes, it is refused and its client is advised to retry after
+    /// `retry_after` microseconds, within the bounds of the settings; it fails instead if it may have run and
+    /// a second run could do harm. A shard without an allowance is unlimited.
     pub fn set_retry_tokens(
         &mut self,
         now: Micros,
@@ -284,6 +285,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.advance(now);
+        // A second count of the tokens, only to report demand that found none.
         self.retry_demands.set_tokens(shard, tokens);
         self.dispatcher.set_retry_tokens(self.now, shard, tokens, retry_after);
         self.carry_out_commands(effects);
--- a/crates/decisions/src/law.rs
+++ b/crates/decisions/src/law.rs
@@ -29,7 +29,7 @@
 const SILENT_AFTER: Micros = 1_000_000;
 /// Pause between two trial requests to a silent node; the hosts of a large fleet share them.
 const TRIAL_INTERVAL: Micros = 400_000;
-/// The fraction of a node's service that is divided into shares.
+/// The fraction of a shard's peak service that is divided into shares.
 const SHARED_FRACTION: f64 = 0.9;
 
 /// Tiers of a request's units, by what they are worth: within the reserve, within the share, beyond both.
@@ -140,7 +140,7 @@
     }
 
     /// Whether the node may take an attempt now, as far as its own state tells; if not, from when it may,
-    /// with `None` if only an answer can change it.
+    /// with `None` if only an event (such as an answer, or a change of the node list) can change it.
     ///
     /// All requests sent to a node that is silent, unreachable or resets connections are lost with it. It
     /// gets single trial requests until it answers. This covers dead processes and machines, full connection
@@ -161,15 +161,16 @@
         if self.occupied() < bound.floor() && (self.in_flight.len() as f64) < MAX_BOUND {
             Ok(())
         } else {
+            // By then it counts as silent and may get a trial request.
             Err(self.unanswered_since.map(|t| t + SILENT_AFTER + 1))
         }
     }
 }
 
 impl Shard {
-    /// The fair share, in units a second and weight, by max-min fairness: up to this level of demand the
-    /// capacity beyond the reserves suffices for all volumes. Without it a few volumes in a surge fill the
-    /// node and starve the rest.
+    /// The fair share, in units per second for each unit of weight, by max-min fairness: up to this level of
+    /// demand the capacity beyond the reserves suffices for all volumes. Without it a few volumes in a surge
+    /// fill the shard and starve the rest.
     pub(crate) fn fair_share(&self, now: Micros) -> f64 {
         let mut left = (SHARED_FRACTION * self.peak - self.demand_within_reserve.value_at(now)).max(0.0);
         let mut demands: Vec<(f64, f64)> = self
--- a/crates/decisions/src/shards.rs
+++ b/crates/decisions/src/shards.rs
@@ -13,7 +13,7 @@
     /// Its due time, negated, so that the latest due sorts first.
     pub(crate) negated_due: Micros,
     pub(crate) id: RequestId,
-    /// If it still waits after this time, its queue counts as congested.
+    /// The time until which its waiting does not count as congestion of its queue.
     pub(crate) prompt_until: Micros,
 }
 
@@ -103,6 +103,8 @@
         self.peak = self.peak.max(self.served.value_at(now));
         self.peak_updated_at = now;
     }
+    /// Adds a request to the queue of its rank and to the indexes; see `awaiting_token` for the requests that
+    /// wait outside of them.
     pub(crate) fn insert(&mut self, entry: QueueEntry, key: Option<KeyId>, needs_token: bool) {
         let queue = self.queues.entry(entry.rank).or_default();
         queue.latest_due.insert((entry.negated_due, entry.id));
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -10,7 +10,8 @@
 pub(crate) use crate::sums::*;
 pub(crate) use crate::volumes::*;
 
-/// What an internal wake is for.
+/// What a wake is for. A wake is an internal timer: at its time the scheduler examines something again, or
+/// repeats a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Wake {
     /// One of a request's time limits is reached.
@@ -131,9 +132,9 @@
     }
     /// Records that an attempt awaits its connection, or begins after that wait.
     ///
-    /// If it were charged to its volume's limit when it is sent, it would reach the node later, when the
-    /// limit has refilled, together with others. Its units are kept free in the limit
-    /// (`Volume::awaiting_units`) and charged when it begins. This costs nothing.
+    /// If its units were charged at sending, the limit would refill during the wait, and the node would get
+    /// the delayed attempt and new ones at once, more than the limit allows. Its units are held in the limit
+    /// for it (`Volume::awaiting_units`) and charged when it begins. This costs nothing.
     pub(crate) fn set_awaiting_connection(&mut self, id: RequestId, attempt: u32, awaiting: bool) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let volume = self.volumes.get_mut(&open.request.volume);
@@ -141,8 +142,8 @@
             volume.set_awaiting_connection(self.now, attempt, open.request.units, awaiting);
         }
     }
-    /// Applies an entry of the node list. Its shard lists the node, in order of id, if the node is on.
-    /// `time_constant` is that of a new shard (`Shard::new`).
+    /// Sets zone, shard and state of a known node, and lists it under its shard, in order of id, if it is on.
+    /// The caller handles `started`. `time_constant` is that of a new shard (`Shard::new`).
     pub(crate) fn apply_entry(&mut self, entry: &NodeEntry, time_constant: f64) {
         self.entries_applied += 1;
         let Some(node) = self.nodes.get_mut(&entry.node) else { return };
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -49,8 +49,8 @@
 }
 
 impl Scheduler {
-    /// Whether a sent attempt is still valid at the moment in which it can be begun; if not, it counts as
-    /// never sent.
+    /// Whether an attempt that waited for its connection may still be written to the node; if not, it counts
+    /// as never sent.
     ///
     /// An attempt that awaits its connection begins late: by then its node may drain or be another process,
     /// its client's time may be over, or the nodes may have forgotten its key. The cost: the request waits
--- a/crates/decisions/src/volumes.rs
+++ b/crates/decisions/src/volumes.rs
@@ -16,13 +16,14 @@
     /// Units recently requested through this host.
     pub(crate) demand: DecayingSum,
     pub(crate) last_request: Micros,
-    /// Units of attempts that await their connection: the limit keeps them free until those attempts begin.
+    /// Units of attempts that await their connection: held in the limit for these attempts, not yet spent.
+    /// They are back in the bucket, and each check of the limit subtracts them.
     pub(crate) awaiting_units: f64,
 }
 
 impl Volume {
-    /// Records that an attempt awaits its connection, or begins after that wait. Its units are kept free
-    /// while it waits and charged to the limit from when it begins.
+    /// Records that an attempt awaits its connection, or begins after that wait. Its units are held in
+    /// the limit for it while it waits, and charged to the limit when it begins.
     pub(crate) fn set_awaiting_connection(
         &mut self,
         now: Micros,
--- a/crates/decisions/tests/allowance.rs
+++ b/crates/decisions/tests/allowance.rs
@@ -178,8 +178,9 @@
     host.checker.assert_no_breach();
 }
 
-/// Each refusal starts the next request of the key. Guards against a stack overflow by recursion, and against
-/// requests left without an answer, when thousands of refusals follow one another.
+/// After each refusal the next request of the key is examined, and refused too. Guards against a stack
+/// overflow by recursion, and against requests left without an answer, when thousands of refusals follow one
+/// another.
 #[test]
 fn many_retries_of_one_key_are_all_refused_within_one_event() {
     const RETRIES: u64 = 3000;
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -12,7 +12,8 @@
 pub(crate) enum Framing {
     Length(usize),
     Chunked(Chunked),
-    /// The head states no length.
+    /// The head states neither length nor coding: a request then has no body, and the body of a response ends
+    /// with the connection.
     Unstated,
     /// The body ends with an orderly close of the connection: a response without a length.
     UntilEnd,
@@ -20,7 +21,8 @@
 
 /// Determines the framing that a head states. Two lengths, or a length together with a transfer coding, are
 /// rejected: they allow request smuggling, where a second message is hidden in the body of the first and
-/// peers read different messages. The check costs nothing, because legitimate peers do not send such heads.
+/// peers read different messages. The check rejects no legitimate message, because legitimate peers do not
+/// send such heads.
 pub(crate) fn framing(fields: &Fields, limits: &Limits) -> Result<Framing, DecodeError> {
     let length = fields.unique("content-length").map_err(|_| DecodeError::InvalidLength)?;
     let coding = fields.unique("transfer-encoding").map_err(|_| DecodeError::InvalidLength)?;
@@ -58,13 +60,15 @@
         Body { framing, bytes: BytesMut::new() }
     }
 
-    /// Returns the body once it is complete.
+    /// Returns the body once it is complete. A body that ends with the connection is returned by
+    /// [`Body::end`].
     pub(crate) fn read(
         &mut self,
         input: &mut BytesMut,
         limits: &Limits,
     ) -> Result<Option<Bytes>, DecodeError> {
         match &mut self.framing {
+            // Not reached: callers replace `Unstated` first.
             Framing::Unstated => Ok(Some(Bytes::new())),
             Framing::UntilEnd => {
                 if self.bytes.len() + input.len() > limits.body {
@@ -75,8 +79,8 @@
             }
             Framing::Length(length) => {
                 let length = *length;
-                // Reserve once instead of growing repeatedly; memory that is not written to is not yet
-                // allocated.
+                // Reserve once instead of growing repeatedly. The operating system provides reserved memory
+                // only when it is written to, so a large stated length alone uses hardly any.
                 input.reserve(length.saturating_sub(input.len()));
                 Ok((input.len() >= length).then(|| input.split_to(length).freeze()))
             }
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -62,6 +62,7 @@
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
         505 => "HTTP Version Not Supported",
+        // Clients ignore the phrase.
         _ => "Answer",
     }
 }
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -40,7 +40,8 @@
     /// Too many connections from the address.
     #[error("limits.connections_from_address is reached")]
     FromAddress,
-    /// Too many connections from the address that are not established yet.
+    /// Too many connections from the address that are not established yet, which the settings key
+    /// `rising_from_address` limits.
     #[error("limits.rising_from_address is reached")]
     Connecting,
     /// Too many commands are held for the host.
@@ -162,8 +163,8 @@
         self.connections.contains_key(&id)
     }
 
-    /// Marks a connection as established: it is a queue of `host`. Returns false if it is no longer accepted;
-    /// the caller must then close it.
+    /// Marks a connection as established: it carries one queue of the client machine named `host`. Returns
+    /// false if it is no longer accepted; the caller must then close it.
     pub fn establish(&mut self, id: ConnectionId, host: &str) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         if connection.host.is_some() {
@@ -221,7 +222,8 @@
         self.connecting.first().map(|(opened_at, _)| opened_at + self.limits.connect_timeout)
     }
 
-    /// Accounts for a command with `bytes` of data, which is held from now on unless a limit is reached.
+    /// Accounts for a command with `bytes` of data, which is held from now on unless a limit is reached. A
+    /// command of a connection that is no longer accepted is not counted, and the result is `Ok`.
     ///
     /// # Errors
     /// The limit that was reached; the command must not be processed.
