--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -8,7 +8,7 @@
 pub enum Fault {
     /// It reads and runs everything, and answers nothing.
     Silent(bool),
-    /// It stands still: nothing is read, nothing runs.
+    /// It stands still: nothing received is processed, nothing runs.
     Stall(bool),
     /// It runs this many times slower; 1 ends it.
     Slow(f64),
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -23,8 +23,8 @@
         self.session.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Queues the completion of a command, with its status reduced to what the host supports. It goes out
-    /// with the next flush. Returns whether a flush is needed.
+    /// Queues the completion of a command, without a retry delay if the host did not ask for delays. It goes
+    /// out with the next flush. Returns whether a flush is needed.
     pub(crate) fn complete(&self, cid: u16, mut completion: Completion, target: &Mutex<Target>) -> bool {
         let mut session = self.session();
         if !completion.status.is_success() {
--- a/crates/gateway/src/coordination.rs
+++ b/crates/gateway/src/coordination.rs
@@ -82,7 +82,8 @@
         Ok(coordination)
     }
 
-    /// Announces what this gateway serves and tries. Returns whether the view changed.
+    /// Announces this gateway's volumes and the digests of its cap settings and of the candidate on trial.
+    /// Returns whether the view changed.
     pub(crate) fn announce(&mut self, now: Micros) -> bool {
         let candidate = self.trial.as_ref().map_or(0, ShadowTrial::digest);
         self.membership
@@ -144,8 +145,8 @@
     }
 }
 
-/// Digest of a cap's settings. Gateways with different settings do not share one cap, and operators can see
-/// that in the digests.
+/// FNV-1a digest (64 bits) of a cap's settings. Gateways whose settings differ do not enforce a common limit;
+/// the digests show this to operators.
 fn cap_settings_digest(options: &CapOptions) -> u64 {
     let CapOptions { members, window, free, share, recovering_share, fleet_free, fleet_share, drift, .. } =
         options;
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -38,7 +38,7 @@
 use transport::Outlet;
 use transport::Ticker;
 
-/// Messages handled per reading of the clock.
+/// Most messages handled in one batch; all but a batch's first share one reading of the clock.
 const MESSAGES_PER_BATCH: usize = 2048;
 /// Commands dispatched per reading of the clock, in round-robin order of the hosts.
 const COMMANDS_PER_BATCH: usize = 256;
@@ -161,7 +161,7 @@
         let now = clock.now();
         let lines = std::mem::take(&mut self.options.nodes);
         self.apply_node_list(now, true, true, &lines);
-        // Orders of the previous life stay in force until newer ones arrive.
+        // Operators' orders in force before the restart stay in force until newer ones arrive.
         if let Some(state) = self.recovery.as_ref().map(|r| r.own_orders().clone()) {
             self.adopt_orders(now, &state);
         }
@@ -231,6 +231,7 @@
             Message::Evict(id) => self.evict(id, "a newer connection takes its place"),
             Message::Command(id, command) => {
                 if let Some(client) = self.clients.get(&id) {
+                    // One for the command plus one for each whole 4 KiB of data; blocks are taken as 4 KiB.
                     let cost = 1 + (command.data.len() as u64).max(u64::from(command.blocks) * 4096) / 4096;
                     self.host_queues.push(client.host.clone(), cost, (id, command));
                 }
--- a/crates/gateway/src/engine/coordination.rs
+++ b/crates/gateway/src/engine/coordination.rs
@@ -37,7 +37,7 @@
     /// Updates the module's retry allowance to the current time before it decides anything.
     ///
     /// After a wait, retry tokens may have fallen due, and decisions made before the cap's tick would be
-    /// based on the old allowance. The cost is a tick for each step in which messages arrive.
+    /// based on the old allowance. The cost is at most one tick for each of the cap's steps.
     pub(super) fn refresh_retry_allowance(&mut self, now: Micros) {
         let retry_cap = self.coordination.as_mut().and_then(|coordination| coordination.retry_cap.as_mut());
         if let Some(retry_cap) = retry_cap.filter(|retry_cap| retry_cap.is_stale(now)) {
@@ -78,8 +78,8 @@
         self.apply_effects(now);
     }
 
-    /// Reports held-back and waiting parts to the cap, and one shard's new allowance to the module. Returns
-    /// whether there was an allowance to report.
+    /// Reports retries refused for lack of a token, and retries waiting for one, to the cap, and one shard's
+    /// new allowance to the module. Returns whether there was an allowance to report.
     pub(super) fn give_allowance(&mut self, now: Micros) -> bool {
         let Some(retry_cap) = self.coordination.as_mut().and_then(|c| c.retry_cap.as_mut()) else {
             return false;
--- a/crates/gateway/src/engine/node_list.rs
+++ b/crates/gateway/src/engine/node_list.rs
@@ -13,6 +13,8 @@
 use crate::recovery_driver::{EngineAction, RecoveryDriver};
 
 impl Engine {
+    /// Applies a node list. With `replace_all` it is the complete list, otherwise only the changed entries;
+    /// `remembered` means that it comes from this gateway's own storage and may be out of date.
     pub(super) fn apply_node_list(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/engine/status.rs
+++ b/crates/gateway/src/engine/status.rs
@@ -106,6 +106,7 @@
             name: self.options.name.clone(),
             pid: std::process::id(),
             revision: self.revision,
+            // Volumes on hold by operators; `held_commands` counts commands in memory.
             held: self
                 .held_volumes
                 .iter()
--- a/crates/gateway/src/front_end.rs
+++ b/crates/gateway/src/front_end.rs
@@ -129,7 +129,8 @@
                 }
                 Output::Bound(admission) => {
                     let host = self.target().host(admission.cntlid).unwrap_or_default().to_owned();
-                    // Admission control no longer counts a connection that it has evicted.
+                    // `establish` returns false if admission control has evicted the connection meanwhile: it
+                    // must be closed.
                     keep_open &= self.client_limits().establish(connection.id, &host);
                     self.inbox.send(Message::Bound(connection.id, admission, host.into()));
                 }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -14,7 +14,7 @@
 /// A message to the engine.
 pub(crate) enum Message {
     Opened(Arc<Connection>),
-    /// The connection completed its handshake, as a queue of this host.
+    /// The client's handshake is complete: the connection is a queue of this host.
     Bound(ConnectionId, Admission, Arc<str>),
     /// Close a connection that did not complete its handshake, in favour of a newer one.
     Evict(ConnectionId),
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -245,8 +245,10 @@
         });
     }
 
+    /// Sends a keep alive, or closes the queues if the last one was not answered within the timeout.
     fn keep_alive(&self, state: &mut State) {
         let Some((initiator, outlet)) = &mut state.admin else { return };
+        // Only keep alives are sent on this queue, so an outstanding command is the last keep alive.
         if initiator.outstanding() > 0 {
             if state.last_keep_alive.elapsed() > self.options.keep_alive {
                 tracing::warn!(address = %self.address, "no answer to a keep alive; closing the connection");
--- a/crates/gateway/src/node_connection/connect.rs
+++ b/crates/gateway/src/node_connection/connect.rs
@@ -18,7 +18,8 @@
 const HANDSHAKE_BUFFER_BYTES: usize = 8192;
 
 impl NodeConnection {
-    /// Connects and completes the handshake of both queues; `check_timeouts` ends it if it takes too long.
+    /// Connects and completes the handshake of both queues. Only the operating system's timeout ends the TCP
+    /// connect itself; after it, `check_timeouts` ends a handshake that takes too long.
     pub(super) fn connect(self: &Arc<Self>) -> Result<TcpStream, ConnectError> {
         let (mut admin_stream, admin, ready) = self.handshake(0, 0, ADMIN_IN_CAPSULE_BYTES)?;
         let HostEvent::Ready { cntlid, limits: Some(limits) } = ready else {
--- a/crates/gateway/src/retry_cap.rs
+++ b/crates/gateway/src/retry_cap.rs
@@ -163,10 +163,11 @@
         self.handle(now, Input::RetriesWaiting { shard: shard.0, waiting, worth });
     }
 
-    /// Reports the shards with a node that this gateway itself sees cold or silent.
+    /// Reports which shards have a node that is cold, that this gateway finds silent, or that refused an
+    /// attempt since the last report.
     ///
-    /// Were the peers' observations of silence reported as this gateway's own, a single gateway cut off from
-    /// a node would keep the whole fleet in recovery through many reporters. Peers send their own
+    /// If gateways repeated a peer's observation of silence as their own, one gateway cut off from a node
+    /// would seem confirmed by all, and the whole fleet would stay in recovery. Peers send their own
     /// observations, each in its own name. The cost is that a node's trouble seen by a peer is known here one
     /// message later.
     pub(crate) fn report_trouble(&mut self, now: Micros, shards: BTreeMap<u32, bool>) {
--- a/crates/gateway/src/shadow_trial.rs
+++ b/crates/gateway/src/shadow_trial.rs
@@ -275,7 +275,7 @@
                     self.to_send.push(ReadCopy { attempt, node, shard, nsid, slba, blocks });
                 }
                 Output::Send { to, body } => self.peer_network.note_to(&to, KIND, body),
-                // The thread ends only with the process.
+                // Sending cannot fail: the receiving thread runs as long as this sender exists.
                 Output::Keep(counts) => drop(self.counts_writer.send(counts)),
                 Output::TurnedAway { from, why } => {
                     tracing::warn!(%from, why, "rejected a peer's message about the candidate");
--- a/crates/gateway/tests/crowd_of_repeats.rs
+++ b/crates/gateway/tests/crowd_of_repeats.rs
@@ -375,12 +375,13 @@
     assert!(with.2 <= without.2 + 2_000, "{without:?} {with:?}");
 }
 
-/// Guards against sending more than the account allows after a shadow copy has used a retry token: the
-/// module's allowance must shrink too.
+/// Guards against sending more retries than the cap's tokens allow after a shadow copy has used a retry
+/// token: the module's allowance must shrink too.
 #[test]
 fn a_shadow_copy_reduces_the_allowance_of_the_module_too() {
     let mut coupled = Coupled::new(0.0);
-    // As in the engine's `allows_copy` and `copy_sent`.
+    // As `RetryCap::allows_copy` and `RetryCap::copy_sent` do.
+    // `CapOptions::new` gives four base tokens per member.
     assert_eq!(coupled.allowances.remaining(SHARD), Some(4));
     coupled.allowances.spend_and_notify(SHARD);
     coupled.cap_input(Input::AttemptSent { shard: SHARD, is_retry: true });
--- a/crates/gateway/tests/path/limits.rs
+++ b/crates/gateway/tests/path/limits.rs
@@ -10,6 +10,7 @@
 
 #[test]
 fn a_connection_that_never_completes_its_handshake_is_closed() {
+    // `way_up_ms` is the time allowed for a client's handshake.
     let bed = TestBed::with(&SITE.replace("[log]", "[limits]\nway_up_ms = 300\n\n[log]"));
     let host = bed.host(1);
     let mut silent = TcpStream::connect(bed.gateway.address()).unwrap();
@@ -26,6 +27,7 @@
 
 #[test]
 fn handshakes_per_address_are_limited_and_the_oldest_is_evicted_when_full() {
+    // `rising_from_address` limits the handshakes in progress from one address.
     let limits = "[limits]\nconnections = 6\nrising_from_address = 3\n\n[log]";
     let bed = TestBed::with(&SITE.replace("[log]", limits));
     let host = bed.host(1);
@@ -63,8 +65,8 @@
 
 #[test]
 fn commands_over_the_limit_of_a_host_are_refused_at_once() {
-    // A busy machine may be slow to ask: with a long latency target, no held command falls due before the
-    // status is read.
+    // On a slow machine, held commands could reach their deadline before the status is read; a long latency
+    // target and timeout prevent that.
     let site = SITE.replace("aim_ms = 300\npatience_ms = 1000", "aim_ms = 30000\npatience_ms = 90000");
     let bed = TestBed::with(&site.replace("[log]", "[limits]\nhost_commands = 10\n\n[log]"));
     let (heavy, light) = (bed.host(1), bed.host(2));
--- a/crates/repeats/src/cap.rs
+++ b/crates/repeats/src/cap.rs
@@ -114,6 +114,8 @@
         }
     }
 
+    /// Creates an account. `free` is the number of retries that the whole fleet may send in a window without
+    /// earning them; the account's base tokens are this gateway's part of it.
     pub(crate) fn new_account(&self, free: f64, now: Micros) -> Account {
         match self.overrides.fault {
             Some(InjectedFault::NewLifeStartsFull) => {
--- a/crates/repeats/src/events.rs
+++ b/crates/repeats/src/events.rs
@@ -48,6 +48,7 @@
         shard_cap.rejected += 1;
         if shard_cap.rejected.is_multiple_of(REJECTIONS_PER_DELAY) {
             shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
+            // Forces a notification with the new delay if the allowance is unchanged.
             shard_cap.notified_at = Micros::MIN;
         }
         if shard_cap.own_tokens() > 0 && self.fleet.available() >= ONE_TOKEN {
@@ -88,7 +89,8 @@
         self.fleet.set_base(fleet_base);
     }
 
-    /// Brings all accounts and states to `now`; returns true if a step has ended since the last call.
+    /// If a step has ended since the last call, does the work that is due at the end of a step and, if one
+    /// has ended, of a slice. Returns whether a step has ended.
     pub(crate) fn advance(&mut self, now: Micros, out: &mut Vec<Output>) -> bool {
         if now < self.next_step {
             return false;
@@ -109,6 +111,7 @@
                 if recent.rejected > 0 {
                     // Draw a new retry delay after each slice in which requests were rejected.
                     shard_cap.draw_retry_after(&self.options, &self.durations, &mut self.rng);
+                    // Forces a notification with the new delay if the allowance is unchanged.
                     shard_cap.notified_at = Micros::MIN;
                 } else if shard_cap.waiting == 0 {
                     shard_cap.highest_worth = 0.0;
--- a/crates/repeats/src/fleet_quota.rs
+++ b/crates/repeats/src/fleet_quota.rs
@@ -60,8 +60,8 @@
     }
 
     /// Assigns tokens to the shards without fleet-wide ones: from the unassigned tokens, or, where one
-    /// of these shards needs some, by redistributing all of them, at most once a step. Returns the
-    /// shards that received some, or none if all may have changed.
+    /// of these shards needs some, by redistributing all of them, at most once a step. Returns
+    /// `Some` with the shards that received tokens, or `None` if any shard's quota may have changed.
     pub(crate) fn assign_more(&mut self, now: Micros) -> Option<Vec<u32>> {
         let mut changed = Vec::new();
         while self.unassigned() > 0
--- a/crates/repeats/src/leases.rs
+++ b/crates/repeats/src/leases.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Creates a request for `amount_needed` thousandths of a token, to be sent to these peers now.
+    /// Creates a request for `amount` thousandths of a token, to be sent to these peers now.
     pub fn create_request(
         &mut self,
         now: Micros,
@@ -115,8 +115,8 @@
         is_new
     }
 
-    /// Leases at most `max_amount` tokens for a request, retaining `retained` of the base tokens. The
-    /// tokens are off the account when this returns.
+    /// Leases at most `max_amount` for a request, retaining `retained` of the base tokens (both in
+    /// thousandths of a token). The leased tokens are off the account when this returns.
     pub fn grant_lease(
         &self,
         now: Micros,
--- a/crates/repeats/src/options.rs
+++ b/crates/repeats/src/options.rs
@@ -148,7 +148,8 @@
 pub struct Durations {
     /// The grid on which earned tokens expire.
     pub slice: Micros,
-    /// The grid on which borrowed tokens expire and spent base tokens return.
+    /// The tick interval, a quarter of a slice (1/64 of a window): the grid on which borrowed tokens expire
+    /// and spent base tokens return.
     pub step: Micros,
     /// A spent base token returns after this: the window, and half a slice for attempts that take that
     /// long to arrive.
--- a/crates/repeats/src/sketch.rs
+++ b/crates/repeats/src/sketch.rs
@@ -170,6 +170,7 @@
         if self.own_keys.len() < MAX_OWN_KEYS || self.own_keys.contains_key(&key) {
             self.own_keys.insert(key, now);
         } else {
+            // Own keys beyond the exact bound go into the same filter as those of peers.
             self.peer_keys.rotate(now);
             self.peer_keys.current.add(key);
         }
--- a/crates/repeats/src/snapshot.rs
+++ b/crates/repeats/src/snapshot.rs
@@ -11,7 +11,7 @@
 pub struct ShardSnapshot {
     /// The shard; none for all shards of the fleet together.
     pub shard: Option<u32>,
-    /// Its state; for all shards together the most severe.
+    /// Its state; for all shards together, recovering if any shard is, otherwise the first shard's state.
     pub state: ShardState,
     /// How long it has been in that state, microseconds.
     pub since: Micros,
@@ -60,7 +60,8 @@
     pub given: u64,
     /// Lease grants accepted.
     pub taken: u64,
-    /// Lease grants that were late, duplicated, not requested or for another life, and added nothing.
+    /// Lease grants that added nothing: late, duplicated, not requested, for another life or an unknown
+    /// shard, or granted under normal limits for a shard that has reduced limits here.
     pub untaken: u64,
     /// Allowances issued.
     pub allows: u64,
--- a/crates/transport/src/ticker.rs
+++ b/crates/transport/src/ticker.rs
@@ -24,7 +24,8 @@
 }
 
 impl Ticker {
-    /// Starts the thread; it calls `tick` when something is due. `tick` must not park its thread.
+    /// Starts the thread. It calls `tick` at the due time, and every millisecond after it until the due time
+    /// is replaced. `tick` must not park: that could consume the wake-up of `set_due`.
     pub fn start(clock: Clock, tick: impl Fn() + Send + 'static) -> io::Result<Ticker> {
         let wake = Arc::new(Wake::new());
         let thread_wake = wake.clone();
