--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -31,8 +31,8 @@
     pub(crate) open_request: Option<(RequestId, bool)>,
     /// An admitted request on this connection has been answered.
     pub(crate) served: bool,
-    /// Bytes behind the open request that were discarded; no further request on this connection can be
-    /// parsed.
+    /// Number of bytes received after the open request and discarded; once there are any, no further request
+    /// on this connection can be parsed.
     pub(crate) discarded_bytes: usize,
     /// The connection was to be closed but had input or output pending, which hasn't been handled yet.
     pub(crate) close_declined: bool,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -138,6 +138,9 @@
     }
 
     /// Reads until the connection ends; returns how it ended.
+    ///
+    /// `Broken` also stands for a connection that this side closed or that was never established;
+    /// [`Connection::classify_end`] turns it into `Cut` where output was certainly not sent in full.
     fn read(&self, clock: Clock, inbox: &Sender<Message>, connecting: bool) -> ConnectionEnd {
         let Ok(io) = CoIo::new(SharedDescriptor(self.stream.clone())) else { return ConnectionEnd::Broken };
         *self.waker.lock().unwrap_or_else(|p| p.into_inner()) = Some(io.waker());
@@ -153,16 +156,15 @@
             }
             let _ = inbox.send(Message::Established { socket, serial });
         }
-        // The system keeps data that arrived before the connection was closed, so there may still be
-        // something to read. A reader that delivered it would wait for a permit that never comes and hold its
-        // descriptor for ever.
+        // After this side closed the connection, data may still be readable. The engine issues no more read
+        // permits then, so a reader that delivered it would wait for ever and hold its descriptor.
         while !self.closed.load(Ordering::SeqCst) {
             // The buffer is allocated per read, so that a connection without traffic holds none.
             let mut buffer = vec![0; READ_BUFFER];
             match (&*self.stream).read(&mut buffer) {
                 Ok(0) => return ConnectionEnd::Orderly,
-                // A client that sent a request and closed before it was read would be admitted and its
-                // attempt started long afterwards; a client that has closed its connection waits for nothing.
+                // Input of a client that has already closed is dropped: a request in it would be admitted
+                // late, and its attempt would run for nobody.
                 Ok(_) if matches!(self.socket, SocketId::Client(_)) && self.is_at_end() => {
                     return ConnectionEnd::Orderly;
                 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -207,9 +207,10 @@
     /// Closes watches past [`CALL_TIMEOUT`], and one more if there are too many for another. Of those that
     /// have delivered something, the one that last received input may still deliver and stays open.
     ///
-    /// Where the delay is short, an agent that takes longer to respond than a few delays would never get to
-    /// deliver a list if the oldest call made room. The second oldest is closed instead, so that one call
-    /// always has its full time. The cost is that a call in between might have been answered sooner.
+    /// A call is the opening of a watch. If the oldest call were closed each time, none would last for
+    /// [`CALL_TIMEOUT`] where the retry delay is short, and an agent that takes longer to respond than a few
+    /// delays would never get to deliver a list. The oldest is therefore kept and the second oldest closed,
+    /// though that one might have been answered first.
     fn make_room(&mut self, now: Micros, steps: &mut Vec<Step>) {
         let responding = self.watches.iter().filter(|w| !w.current || w.watch.has_received());
         let last = responding.max_by_key(|w| w.watch.last_input_at()).map(|w| w.id);
@@ -295,9 +296,9 @@
     /// would bring draining nodes back, so it is ignored. The cost is that where discovery restarts its
     /// revision numbers nothing is applied for [`REVISION_RESET`].
     ///
-    /// A list with an entry that couldn't be parsed doesn't count as complete: the next watch asks again for
-    /// what came after the revision before it. It isn't requested at once, as the same entry would arrive in
-    /// the same form.
+    /// A list with an entry that couldn't be parsed doesn't count as complete: the next watch requests
+    /// everything after `complete_revision` again. It isn't requested at once, as the same entry would arrive
+    /// in the same form.
     fn accept_revision(&mut self, now: Micros, list: &EndpointList) -> bool {
         if list.revision < self.latest_revision {
             self.older_since.get_or_insert(now);
--- a/crates/platform/src/endpoint.rs
+++ b/crates/platform/src/endpoint.rs
@@ -96,7 +96,7 @@
         Ok(EndpointList { revision: raw.revision, is_complete, members, malformed })
     }
 
-    /// Converts the list to the dispatcher's form.
+    /// Converts the entries to the dispatcher's form and numbers zones that are new.
     pub fn to_listed_nodes(&self, zones: &mut Zones) -> Vec<ListedNode> {
         let listed_node = |e: &Endpoint| ListedNode {
             name: e.id.clone(),
--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -68,7 +68,8 @@
 const EXIT_MARGIN: Micros = 200_000;
 /// A response that goes out this long after its request's deadline is logged, as something must have stalled.
 const OVERDUE_LOG_DELAY: Micros = 100_000;
-/// Interval at which nodes that are gone are removed from the tables.
+/// Interval at which nodes that are gone are removed from the tables, and at which accepting is tried again
+/// after it failed for lack of a file descriptor.
 const SWEEP_INTERVAL: Micros = 1_000_000;
 /// Fraction of the nodes' idle timeout for which a connection is kept, so that a request doesn't cross the
 /// node's close.
--- a/crates/platform/src/machine/shutdown.rs
+++ b/crates/platform/src/machine/shutdown.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Machine {
-    /// Returns the time by which all requests are answered if a shutdown was requested; connections closed
-    /// then have [`SHUTDOWN_LINGER`] before the earliest SIGKILL.
+    /// Returns the time by which all requests are answered if a shutdown was requested: [`SHUTDOWN_LINGER`]
+    /// before the earliest SIGKILL, so that the last responses can still be read.
     pub(super) fn answer_deadline(&self) -> Option<Micros> {
         let longest = if self.gateway_settings.longest_deadline > 0 {
             self.gateway_settings.longest_deadline.min(MAX_SHUTDOWN_DEADLINE)
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Written by hand to keep the text of the start-up log line.
+/// Keeps the field names of the start-up log line: `clients` and `links` are the limits of client and node
+/// connections, `answer` is the maximum size of a response, `answers` that of all incomplete responses.
 impl fmt::Debug for ResourceLimits {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Sizes")
--- a/crates/platform/src/stall.rs
+++ b/crates/platform/src/stall.rs
@@ -80,7 +80,8 @@
     format!("ran {}, no processor {}", times.ran, times.delayed)
 }
 
-/// Returns the percentages of the last 10 s in which some task of the machine lacked a resource.
+/// Formats the machine's pressure stall information: the percentages of the last 10 s in which some task
+/// waited for a processor, for I/O or for memory.
 fn pressure() -> String {
     let mut all = String::new();
     for resource in ["cpu", "io", "memory"] {
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -199,7 +199,9 @@
     let mut started = list_entry("a", address(100), 0, "in_service");
     started["up_since_ms"] = (gateway.now / 1000 - 100).into();
     gateway.send_list(watch, &node_list(6, false, &[started]));
-    // The node is cold again, and a gateway that has just started waits for a window before sending.
+    // The attempt was decided for the node's previous process. The node is cold again, and a gateway
+    // that started later than a cold node sends it nothing during its own first `cold_window` (`fallUs`, here
+    // 1 s).
     gateway.establish(old);
     assert_eq!(gateway.take_written(old), "", "an attempt decided for the previous process was sent");
     gateway.advance(1_500_000);
--- a/crates/platform/tests/unservable.rs
+++ b/crates/platform/tests/unservable.rs
@@ -1,4 +1,4 @@
-//! Invalid configurations: each is rejected with an error that names the file and the key.
+//! Which configurations are rejected, with an error that names the file and the key, and which are accepted.
 
 mod common;
 
